--- a/packages/magnoliagrade-agent/magnoliagrade_agent/door.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/door.py
@@ -1,4 +1,4 @@
-"""The HTTP door of an agent: requests from entries to its endpoint."""
+"""The HTTP listener of an agent: requests from entries to its endpoint."""
 
 import asyncio
 import logging
@@ -24,7 +24,7 @@
 from magnoliagrade_agent.group.serving import group_serving
 from magnoliagrade_agent.probe import block_endpoint
 
-__all__ = ["make_data_door"]
+__all__ = ["make_data_handler"]
 
 REQUESTS = Counter(
     "magnoliagrade_agent_requests_total", "Requests from entries by result", ["result"]
@@ -33,7 +33,7 @@
 _log = logging.getLogger(__name__)
 
 
-def make_data_door(node):
+def make_data_handler(node):
     """Return the handler of the listener that entries send requests to.
 
     Parameters
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/instance.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/instance.py
@@ -10,7 +10,7 @@
 from magnoliagrade.world import Role, Work
 
 from magnoliagrade_agent.capacity import CreditBook, limit_policies
-from magnoliagrade_agent.door import make_data_door
+from magnoliagrade_agent.door import make_data_handler
 from magnoliagrade_agent.engine import EngineClient
 from magnoliagrade_agent.handlers import agent_handlers, agent_tasks
 from magnoliagrade_agent.load_watch import LoadWatch, send_grants
@@ -83,8 +83,11 @@
         )
         if self.settings.group:
             self.group_service = _make_group_service(self)
-        await self.listen_door(
-            "data", make_data_door(self), self.settings.data_address, is_internal=True
+        await self.listen_for_requests(
+            "data",
+            make_data_handler(self),
+            self.settings.data_address,
+            is_internal=True,
         )
         await self.listen_admin()
         await self.listen_links()
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/direct/door.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/direct/door.py
@@ -1,4 +1,4 @@
-"""The HTTP door for callers, and the one that says whether the entry is ready."""
+"""The HTTP listener for callers, and the one that says whether the entry is ready."""
 
 import asyncio
 import logging
@@ -12,7 +12,7 @@
 from magnoliagrade_entry.direct.arrival import read_request
 from magnoliagrade_entry.direct.serving import serve_request
 
-__all__ = ["make_caller_door", "ready_routes"]
+__all__ = ["make_caller_handler", "ready_routes"]
 
 REQUESTS = Counter(
     "magnoliagrade_direct_requests_total", "Requests by result", ["result"]
@@ -25,7 +25,7 @@
 _log = logging.getLogger(__name__)
 
 
-def make_caller_door(node):
+def make_caller_handler(node):
     """Return the handler of the listener that callers connect to.
 
     Parameters
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/direct/instance.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/direct/instance.py
@@ -9,13 +9,13 @@
 import aiohttp
 from magnoliagrade.clock import SystemClock
 from magnoliagrade.errors import MagnoliagradeError
-from magnoliagrade.http import DoorLimits, change_limits, start_door
+from magnoliagrade.http import ListenerLimits, change_limits, start_listener
 from magnoliagrade.identity import InstanceIdentity, new_incarnation
 from magnoliagrade.node import Tasks, start_site
 from magnoliagrade.observability import log_event, serve_metrics_text
 from magnoliagrade.platform import PlatformStore
 
-from magnoliagrade_entry.direct.door import make_caller_door, ready_routes
+from magnoliagrade_entry.direct.door import make_caller_handler, ready_routes
 from magnoliagrade_entry.direct.knowledge import RETURN_SETTLE_S, SiteKnowledge
 from magnoliagrade_entry.direct.peers import PeerLinks, keep_registered
 from magnoliagrade_entry.direct.placement import PlaceBook
@@ -63,7 +63,7 @@
         "caller_address",
         "clock",
         "configured",
-        "door",
+        "caller_listener",
         "identity",
         "is_leaving",
         "knowledge",
@@ -105,7 +105,7 @@
         self.is_leaving = False
         self.refuses_requests = False
         self.requests_in_flight = 0
-        self.door = None
+        self.caller_listener = None
         self._listener = listener
         self.configured = asyncio.Event()
         self.started_at = self.clock.monotonic()
@@ -117,10 +117,10 @@
         """Open every listener and start the background tasks."""
         settings = self.settings
         self._open_clients()
-        self.door, self.caller_address = await start_door(
-            make_caller_door(self),
+        self.caller_listener, self.caller_address = await start_listener(
+            make_caller_handler(self),
             settings.caller_address,
-            limits=DoorLimits(),
+            limits=ListenerLimits(),
             listener=self._listener,
         )
         for routes, address in (
@@ -253,8 +253,8 @@
 
     def _apply_limits(self, limits):
         change_limits(
-            self.door,
-            DoorLimits(
+            self.caller_listener,
+            ListenerLimits(
                 header_bytes=limits.header_bytes,
                 body_bytes=limits.body_bytes,
                 header_timeout_s=limits.header_timeout_s,
@@ -267,7 +267,7 @@
         if self.refuses_requests:
             return
         self.refuses_requests = True
-        for site in list(self.door.sites):
+        for site in list(self.caller_listener.sites):
             await site.stop()
 
     async def _settle(self):
@@ -291,7 +291,7 @@
                 await self.store.revoke_lease(self.lease, purpose="instances")
         self.peers.close()
         await self.tasks.stop()
-        for runner in (self.door, *self._runners):
+        for runner in (self.caller_listener, *self._runners):
             for connection in list(runner.server.connections):
                 if connection.transport is not None:
                     connection.transport.close()
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/doors.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/doors.py
@@ -1,4 +1,4 @@
-"""The HTTP doors of an entry: for callers and for peer entries."""
+"""The HTTP listeners of an entry: for callers and for peer entries."""
 
 import asyncio
 import contextlib
@@ -19,7 +19,7 @@
 
 from magnoliagrade_entry.requests import read_arrival, request_id_of
 
-__all__ = ["make_caller_door", "make_peer_door"]
+__all__ = ["make_caller_handler", "make_peer_handler"]
 
 REQUESTS = Counter(
     "magnoliagrade_requests_total",
@@ -41,7 +41,7 @@
 _log = logging.getLogger(__name__)
 
 
-def make_caller_door(node):
+def make_caller_handler(node):
     """Return the handler of the listener that callers connect to.
 
     Parameters
@@ -78,7 +78,7 @@
     return _counted(node, handle, "caller")
 
 
-def make_peer_door(node):
+def make_peer_handler(node):
     """Return the handler of the listener that peer entries forward requests to.
 
     Parameters
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/instance.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/instance.py
@@ -3,7 +3,7 @@
 import logging
 
 from magnoliagrade.configuration import ConfigurationRepository
-from magnoliagrade.http import BodyBudget, DoorLimits
+from magnoliagrade.http import BodyBudget, ListenerLimits
 from magnoliagrade.node import Node, OutcomeBook
 from magnoliagrade.observability import log_event
 from magnoliagrade.store import HttpInstanceList
@@ -18,7 +18,7 @@
 from magnoliagrade_entry.claims import ClaimGuard
 from magnoliagrade_entry.configuration_duty import WatchDuty
 from magnoliagrade_entry.configuration_routes import configuration_routes
-from magnoliagrade_entry.doors import make_caller_door, make_peer_door
+from magnoliagrade_entry.doors import make_caller_handler, make_peer_handler
 from magnoliagrade_entry.handlers import entry_handlers, entry_tasks
 from magnoliagrade_entry.membership import Departures, KnownInstances, LinkKeeper
 from magnoliagrade_entry.membership.messages import note_listed_departures
@@ -116,19 +116,19 @@
         self.repository = ConfigurationRepository(
             store=self.store, clock=self.clock, rng=self.rng, is_in_background=True
         )
-        limits = DoorLimits(
+        limits = ListenerLimits(
             header_bytes=settings.header_limit_bytes,
             body_bytes=settings.body_limit_bytes,
             header_timeout_s=settings.header_timeout_s,
             idle_timeout_s=settings.idle_timeout_s,
         )
-        await self.listen_door(
-            "data", make_peer_door(self), settings.data_address, is_internal=True
+        await self.listen_for_requests(
+            "data", make_peer_handler(self), settings.data_address, is_internal=True
         )
         await self.listen_links()
         await self.listen_admin([*status_routes(self), *configuration_routes(self)])
-        await self.listen_door(
-            "caller", make_caller_door(self), settings.caller_address, limits=limits
+        await self.listen_for_requests(
+            "caller", make_caller_handler(self), settings.caller_address, limits=limits
         )
         self.start_tasks()
         log_event(_log, "entry.started", **self.addresses)
--- a/packages/magnoliagrade/magnoliagrade/http/__init__.py
+++ b/packages/magnoliagrade/magnoliagrade/http/__init__.py
@@ -12,18 +12,18 @@
 )
 from magnoliagrade.http.recording import RecordedAnswer, RecordingSink
 from magnoliagrade.http.server import (
-    DoorLimits,
+    ListenerLimits,
     change_limits,
     coded_errors,
     listen,
     log_refusal,
-    start_door,
+    start_listener,
 )
 
 __all__ = [
     "AnswerSink",
     "BodyBudget",
-    "DoorLimits",
+    "ListenerLimits",
     "change_limits",
     "EventCutter",
     "RecordedAnswer",
@@ -38,6 +38,6 @@
     "read_body",
     "read_request_headers",
     "send_once",
-    "start_door",
+    "start_listener",
     "write_request_headers",
 ]
--- a/packages/magnoliagrade/magnoliagrade/http/server.py
+++ b/packages/magnoliagrade/magnoliagrade/http/server.py
@@ -1,4 +1,4 @@
-"""HTTP server of the doors: each answer of its own comes from the error table."""
+"""HTTP server of the listeners: each answer of its own comes from the error table."""
 
 import asyncio
 import functools
@@ -14,12 +14,12 @@
 from magnoliagrade.observability import log_event
 
 __all__ = [
-    "DoorLimits",
+    "ListenerLimits",
     "change_limits",
     "coded_errors",
     "listen",
     "log_refusal",
-    "start_door",
+    "start_listener",
 ]
 
 # How long what a caller still sends is read and dropped after its answer.
@@ -29,8 +29,8 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class DoorLimits:
-    """What one connection may ask of a door.
+class ListenerLimits:
+    """What one connection may ask of a listener.
 
     Parameters
     ----------
@@ -50,8 +50,8 @@
     idle_timeout_s: float = 600.0
 
 
-async def start_door(handle, address, *, limits, is_internal=False, listener=None):
-    """Serve a door and return its runner and bound address.
+async def start_listener(handle, address, *, limits, is_internal=False, listener=None):
+    """Serve a listener and return its runner and bound address.
 
     Parameters
     ----------
@@ -59,7 +59,7 @@
         Takes an `aiohttp.web.BaseRequest` and returns a response.
     address : str
         `host:port`; port 0 takes a free one.
-    limits : DoorLimits
+    limits : ListenerLimits
         What a connection may ask.
     is_internal : bool
         Whether own processes are on the other side.
@@ -78,7 +78,7 @@
     Bodies stay as they were sent: decompressing them would leave the header
     `Content-Encoding` wrong for the back end.
     """
-    server = _DoorServer(
+    server = _ListenerServer(
         functools.partial(_answer, handle, is_internal=is_internal),
         limits=limits,
         is_internal=is_internal,
@@ -88,13 +88,13 @@
 
 
 def change_limits(runner, limits):
-    """Change the limits of a door, also of the connections that are open.
+    """Change the limits of a listener, also of the connections that are open.
 
     Parameters
     ----------
     runner : aiohttp.web.ServerRunner
-        Runner of the door.
-    limits : DoorLimits
+        Runner of the listener.
+    limits : ListenerLimits
         What a connection may ask from now on.
     """
     server = runner.server
@@ -191,7 +191,7 @@
     return MagnoliagradeError(ErrorKind.INVALID_REQUEST, detail)
 
 
-class _DoorServer(web.Server):
+class _ListenerServer(web.Server):
     def __init__(self, handler, *, limits, is_internal):
         super().__init__(
             handler,
@@ -202,7 +202,7 @@
         self.is_internal = is_internal
 
     def __call__(self):
-        return _DoorConnection(self, loop=asyncio.get_running_loop())
+        return _ListenerConnection(self, loop=asyncio.get_running_loop())
 
     def _make_limited_request(self, message, payload, protocol, writer, task):
         return web.BaseRequest(
@@ -216,7 +216,7 @@
         )
 
 
-class _DoorConnection(web.RequestHandler):
+class _ListenerConnection(web.RequestHandler):
     __slots__ = ("_header_timer", "_server")
 
     def __init__(self, server, *, loop):
--- a/packages/magnoliagrade/magnoliagrade/node/node.py
+++ b/packages/magnoliagrade/magnoliagrade/node/node.py
@@ -6,7 +6,7 @@
 import aiohttp
 
 from magnoliagrade.clock import SystemClock
-from magnoliagrade.http import DoorLimits, start_door
+from magnoliagrade.http import ListenerLimits, start_listener
 from magnoliagrade.identity import InstanceIdentity, new_incarnation
 from magnoliagrade.node.admin import make_admin_app
 from magnoliagrade.node.configuration_spread import ConfigurationSpread
@@ -136,10 +136,10 @@
         self._runners.append(runner)
         self.addresses[name] = bound
 
-    async def listen_door(
+    async def listen_for_requests(
         self, name, handle, address, *, limits=None, is_internal=False
     ):
-        """Serve a door and note its bound address under a name.
+        """Serve a listener and note its bound address under a name.
 
         Parameters
         ----------
@@ -149,15 +149,15 @@
             Takes an HTTP request and returns a response.
         address : str
             `host:port` to listen on.
-        limits : DoorLimits, optional
+        limits : ListenerLimits, optional
             What a connection may ask; wide ones by default.
         is_internal : bool
             Whether own processes are on the other side.
         """
-        runner, bound = await start_door(
+        runner, bound = await start_listener(
             handle,
             address,
-            limits=limits or DoorLimits(),
+            limits=limits or ListenerLimits(),
             is_internal=is_internal,
         )
         self._runners.append(runner)
