--- a/packages/magnoliagrade-agent/magnoliagrade_agent/door.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/door.py
@@ -6,7 +6,7 @@
 import aiohttp
 from magnoliagrade.errors import ErrorKind, MagnoliagradeError
 from magnoliagrade.http import (
-    AnswerSink,
+    ResponseSink,
     check_incarnation,
     error_response,
     read_request_headers,
@@ -45,7 +45,7 @@
     async def handle(http_request):
         context = extract_context(http_request.headers)
         added = {names.RAN: "yes", names.ATTEMPT: _attempt_of(http_request)}
-        sink = AnswerSink(http_request=http_request, added_headers=added)
+        sink = ResponseSink(http_request=http_request, added_headers=added)
         request = None
         with _tracer.start_as_current_span(
             "agent.request", context=context, kind=trace.SpanKind.SERVER
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/claims/guard.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/claims/guard.py
@@ -3,8 +3,8 @@
 import dataclasses
 import logging
 
-from magnoliagrade.errors import ErrorKind, MagnoliagradeError, Ran, answer_of
-from magnoliagrade.http import RecordedAnswer, RecordingSink
+from magnoliagrade.errors import ErrorKind, MagnoliagradeError, Ran, response_of
+from magnoliagrade.http import RecordedResponse, RecordingSink
 from magnoliagrade.observability import log_event
 from prometheus_client import Counter
 
@@ -45,7 +45,7 @@
         ----------
         request : Request
             The request.
-        sink : AnswerSink
+        sink : ResponseSink
             Where the answer goes.
         dispatch : coroutine function
             Called with request and sink.
@@ -101,7 +101,7 @@
         try:
             await dispatch(request, recording)
         except MagnoliagradeError as exc:
-            if answer_of(exc.kind).ran is Ran.NO:
+            if response_of(exc.kind).ran is Ran.NO:
                 self._later(self.keeper.release(claim))
             raise
         settled = dataclasses.replace(claim, status=recording.status)
@@ -137,7 +137,7 @@
         detail = f"the request of this idempotency key {what}"
         raise MagnoliagradeError(ErrorKind.ALREADY_CLAIMED, detail)
     CLAIMS.labels("replayed").inc()
-    recorded = RecordedAnswer(
+    recorded = RecordedResponse(
         status=held.status, content_type=held.content_type, body=held.body
     )
     await recorded.write_to(sink)
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/configuration_routes.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/configuration_routes.py
@@ -8,8 +8,8 @@
 from magnoliagrade.errors import (
     ErrorKind,
     MagnoliagradeError,
-    answer_of,
     problem_details,
+    response_of,
 )
 
 __all__ = ["configuration_routes"]
@@ -104,6 +104,6 @@
         body["problems"] = [str(p) for p in error.problems]
     return web.json_response(
         body,
-        status=answer_of(error.kind).status,
+        status=response_of(error.kind).status,
         content_type="application/problem+json",
     )
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/direct/serving.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/direct/serving.py
@@ -4,7 +4,7 @@
 
 from aiohttp import web
 from magnoliagrade.errors import ErrorKind, MagnoliagradeError
-from magnoliagrade.platform import answer_headers
+from magnoliagrade.platform import response_headers
 
 from magnoliagrade_entry.direct.attempts import Attempts
 from magnoliagrade_entry.direct.streams import relay_stream
@@ -100,7 +100,7 @@
                 has_run=True,
             ) from None
         response = web.Response(
-            status=answer.status, headers=answer_headers(answer.headers), body=body
+            status=answer.status, headers=response_headers(answer.headers), body=body
         )
         if answer.status >= 500 and attempts.may_repeat():
             raise AttemptFailed(
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/direct/streams.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/direct/streams.py
@@ -8,7 +8,7 @@
 from aiohttp import web
 from magnoliagrade.errors import ErrorKind, MagnoliagradeError
 from magnoliagrade.observability import log_event
-from magnoliagrade.platform import answer_headers
+from magnoliagrade.platform import response_headers
 from prometheus_client import Counter, Histogram
 
 from magnoliagrade_entry.direct.upstream import AttemptFailed
@@ -240,7 +240,7 @@
             )
         body = await answer.read()
         return web.Response(
-            status=answer.status, headers=answer_headers(answer.headers), body=body
+            status=answer.status, headers=response_headers(answer.headers), body=body
         )
 
     async def _write(self, answer, events):
@@ -256,7 +256,7 @@
 
     async def _start(self, answer):
         response = web.StreamResponse(
-            status=answer.status, headers=answer_headers(answer.headers)
+            status=answer.status, headers=response_headers(answer.headers)
         )
         if self._node.reasons_not_ready():
             response.force_close()
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/direct/upstream.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/direct/upstream.py
@@ -8,11 +8,11 @@
 from magnoliagrade.errors import ErrorKind, MagnoliagradeError
 from magnoliagrade.http import send_once
 from magnoliagrade.platform import (
-    answer_identity,
     endpoint_headers,
     has_not_run,
     is_group_broken,
     is_replaced,
+    response_identity,
 )
 from yarl import URL
 
@@ -202,7 +202,7 @@
             is_group_broken=is_group_broken(endpoint.id, response.headers),
             is_replaced=is_replaced(status, endpoint.id, response.headers),
         )
-    request_id, signature = answer_identity(response.headers)
+    request_id, signature = response_identity(response.headers)
     is_own = request_id in ("", request.id)
     is_whole = 400 <= status or signature
     if not is_own or not is_whole or "Content-Encoding" in response.headers:
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/doors.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/doors.py
@@ -6,7 +6,7 @@
 
 from magnoliagrade.errors import ErrorKind, MagnoliagradeError
 from magnoliagrade.http import (
-    AnswerSink,
+    ResponseSink,
     check_incarnation,
     error_response,
     log_refusal,
@@ -90,7 +90,7 @@
     async def handle(http_request):
         request_id = ""
         headers = http_request.headers
-        sink = AnswerSink(
+        sink = ResponseSink(
             http_request=http_request,
             added_headers={
                 names.RAN: "yes",
@@ -121,7 +121,7 @@
     return _counted(node, handle, "peer")
 
 
-class _TimedSink(AnswerSink):
+class _TimedSink(ResponseSink):
     """Sink that measures the time to the first byte of the body."""
 
     __slots__ = ("_arrived_at", "_clock")
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/requests/attempt.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/requests/attempt.py
@@ -48,7 +48,7 @@
         Where it goes.
     attempt : str
         Id of the attempt.
-    sink : AnswerSink
+    sink : ResponseSink
         Where the answer goes.
 
     Raises
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/requests/dispatch.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/requests/dispatch.py
@@ -2,8 +2,8 @@
 
 import logging
 
-from magnoliagrade.errors import ErrorKind, MagnoliagradeError, Ran, answer_of
-from magnoliagrade.http import RecordedAnswer
+from magnoliagrade.errors import ErrorKind, MagnoliagradeError, Ran, response_of
+from magnoliagrade.http import RecordedResponse
 from magnoliagrade.observability.logs import log_event
 from magnoliagrade.world import Pool, Work
 from prometheus_client import Counter
@@ -51,7 +51,7 @@
         ----------
         request : Request
             The request.
-        sink : AnswerSink
+        sink : ResponseSink
             Where the answer goes.
 
         Raises
@@ -236,7 +236,7 @@
 
 
 def _recorded(answer):
-    return RecordedAnswer(
+    return RecordedResponse(
         status=answer.status, content_type=answer.content_type, body=answer.body
     )
 
@@ -255,6 +255,6 @@
 
 def _final(failure):
     """Return the error that a caller gets, with the time to come back."""
-    if answer_of(failure.kind).retryable and failure.retry_after is None:
+    if response_of(failure.kind).retryable and failure.retry_after is None:
         failure.retry_after = RETRY_AFTER_S
     return failure
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/requests/hedging.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/requests/hedging.py
@@ -88,7 +88,7 @@
 
     Parameters
     ----------
-    sink : AnswerSink
+    sink : ResponseSink
         Where the winner's answer goes.
     """
 
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/pages.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/pages.py
@@ -6,7 +6,7 @@
 import pkgutil
 
 from magnoliagrade.configuration import describe_settings
-from magnoliagrade.errors import ANSWER_BY_KIND
+from magnoliagrade.errors import RESPONSE_BY_KIND
 from magnoliagrade_agent import AgentSettings
 from magnoliagrade_agent.direct import DirectAgentSettings
 from magnoliagrade_entry.direct import DirectSettings
@@ -113,7 +113,7 @@
     rows = [
         f"| {kind.value} | {answer.status} | {answer.ran.value} "
         f"| {'yes' if answer.retryable else 'no'} | {answer.title} |"
-        for kind, answer in ANSWER_BY_KIND.items()
+        for kind, answer in RESPONSE_BY_KIND.items()
     ]
     return ERRORS_HEAD + "\n".join(rows) + "\n"
 
--- a/packages/magnoliagrade/magnoliagrade/errors.py
+++ b/packages/magnoliagrade/magnoliagrade/errors.py
@@ -1,16 +1,16 @@
-"""The closed list of error kinds and the one table from kind to answer."""
+"""The closed list of error kinds and the one table from kind to response."""
 
 import enum
 from dataclasses import dataclass
 
 __all__ = [
-    "ANSWER_BY_KIND",
-    "ErrorAnswer",
+    "RESPONSE_BY_KIND",
     "ErrorKind",
+    "ErrorResponse",
     "MagnoliagradeError",
     "Ran",
-    "answer_of",
     "problem_details",
+    "response_of",
 ]
 
 
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class ErrorAnswer:
+class ErrorResponse:
     """What a caller is told about one kind of error.
 
     Parameters
@@ -74,11 +74,11 @@
 
 
 def _answer(status, ran, retryable, title):
-    return ErrorAnswer(status=status, ran=ran, retryable=retryable, title=title)
+    return ErrorResponse(status=status, ran=ran, retryable=retryable, title=title)
 
 
 _K = ErrorKind
-ANSWER_BY_KIND = {
+RESPONSE_BY_KIND = {
     _K.INVALID_REQUEST: _answer(400, Ran.NO, False, "The request is malformed"),
     _K.UNAUTHENTICATED: _answer(401, Ran.NO, False, "The key is not known"),
     _K.NO_ROUTE: _answer(404, Ran.NO, False, "Nothing serves this request"),
@@ -126,8 +126,8 @@
         self.retry_after = retry_after
 
 
-def answer_of(kind):
-    """Return the answer that belongs to a kind of error.
+def response_of(kind):
+    """Return the response that belongs to a kind of error.
 
     Parameters
     ----------
@@ -136,19 +136,19 @@
 
     Returns
     -------
-    answer : ErrorAnswer
+    response : ErrorResponse
         Status, whether the request ran, and whether to retry.
 
     Examples
     --------
-    >>> answer_of(ErrorKind.LIMITED).status
+    >>> response_of(ErrorKind.LIMITED).status
     429
     """
-    return ANSWER_BY_KIND[kind]
+    return RESPONSE_BY_KIND[kind]
 
 
 def problem_details(error, *, request_id=""):
-    """Return the body of an error answer as RFC 9457 problem details.
+    """Return the body of an error response as RFC 9457 problem details.
 
     Parameters
     ----------
@@ -162,7 +162,7 @@
     body : dict
         Mapping ready for JSON.
     """
-    answer = answer_of(error.kind)
+    answer = response_of(error.kind)
     return {
         "type": "about:blank",
         "title": answer.title,
--- a/packages/magnoliagrade/magnoliagrade/http/__init__.py
+++ b/packages/magnoliagrade/magnoliagrade/http/__init__.py
@@ -1,6 +1,5 @@
-"""Headers and answers shared by the HTTP hops."""
+"""Headers and responses shared by the HTTP hops."""
 
-from magnoliagrade.http.answers import AnswerSink, error_response
 from magnoliagrade.http.bodies import BodyBudget, read_body
 from magnoliagrade.http.client import send_once
 from magnoliagrade.http.events import EventCutter, WholeEvents
@@ -10,7 +9,8 @@
     read_request_headers,
     write_request_headers,
 )
-from magnoliagrade.http.recording import RecordedAnswer, RecordingSink
+from magnoliagrade.http.recording import RecordedResponse, RecordingSink
+from magnoliagrade.http.responses import ResponseSink, error_response
 from magnoliagrade.http.server import (
     ListenerLimits,
     change_limits,
@@ -21,14 +21,14 @@
 )
 
 __all__ = [
-    "AnswerSink",
     "BodyBudget",
-    "ListenerLimits",
-    "change_limits",
     "EventCutter",
-    "RecordedAnswer",
+    "ListenerLimits",
+    "RecordedResponse",
     "RecordingSink",
+    "ResponseSink",
     "WholeEvents",
+    "change_limits",
     "check_incarnation",
     "coded_errors",
     "end_to_end_headers",
--- a/packages/magnoliagrade/magnoliagrade/http/recording.py
+++ b/packages/magnoliagrade/magnoliagrade/http/recording.py
@@ -1,15 +1,15 @@
-"""Keeping short answers, so that one that was lost can be given again."""
+"""Keeping short responses, so that one that was lost can be given again."""
 
 from dataclasses import dataclass
 
-__all__ = ["RecordedAnswer", "RecordingSink"]
+__all__ = ["RecordedResponse", "RecordingSink"]
 
 RECORDED_BODY_BYTES = 512
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class RecordedAnswer:
-    """A whole answer that was short enough to keep.
+class RecordedResponse:
+    """A whole response that was short enough to keep.
 
     Parameters
     ----------
@@ -26,7 +26,7 @@
     body: bytes = b""
 
     async def write_to(self, sink):
-        """Write the answer to a sink."""
+        """Write the response to a sink."""
         headers = {"Content-Length": str(len(self.body))}
         if self.content_type:
             headers["Content-Type"] = self.content_type
@@ -36,12 +36,12 @@
 
 
 class RecordingSink:
-    """Passes an answer on and keeps it if it is short.
+    """Passes a response on and keeps it if it is short.
 
     Parameters
     ----------
-    sink : AnswerSink
-        Where the answer goes.
+    sink : ResponseSink
+        Where the response goes.
     """
 
     __slots__ = ("_body", "_content_type", "_is_whole", "_sink", "status")
@@ -55,10 +55,10 @@
 
     @property
     def recorded(self):
-        """Return the answer if it is whole and short, else None."""
+        """Return the response if it is whole and short, else None."""
         if not self._is_whole or self._body is None:
             return None
-        return RecordedAnswer(
+        return RecordedResponse(
             status=self.status, content_type=self._content_type, body=self._body
         )
 
--- a/packages/magnoliagrade/magnoliagrade/http/answers.py
+++ b/packages/magnoliagrade/magnoliagrade/http/responses.py
@@ -1,33 +1,33 @@
-"""Answers: the sink that an answer is written to, and error answers."""
+"""Responses: the sink that a response is written to, and error responses."""
 
 import contextlib
 import math
 
 from aiohttp import web
 
-from magnoliagrade.errors import answer_of, problem_details
+from magnoliagrade.errors import problem_details, response_of
 from magnoliagrade.http.headers import CODE, RAN, end_to_end_headers
 
-__all__ = ["AnswerSink", "error_response"]
+__all__ = ["ResponseSink", "error_response"]
 
 
-class AnswerSink:
-    """Writes one answer to the connection that a request came from.
+class ResponseSink:
+    """Writes one response to the connection that a request came from.
 
     Parameters
     ----------
     http_request : aiohttp.web.Request
         The incoming HTTP request.
     added_headers : dict of str to str
-        Headers that this hop adds to the answer.
+        Headers that this hop adds to the response.
     closes_connection : bool
-        Whether the connection ends with this answer.
+        Whether the connection ends with this response.
 
     Notes
     -----
     `tokens_written` starts above 0 where the caller has tokens of another attempt.
     `ignores_lost_reader` is set for requests that go on to their end when nobody
-    waits for the answer any more.
+    waits for the response any more.
     """
 
     __slots__ = (
@@ -64,7 +64,7 @@
         status : int
             HTTP status.
         headers : mapping of str to str
-            Headers of the back end's answer; internal ones are stripped.
+            Headers of the back end's response; internal ones are stripped.
         """
         kept = end_to_end_headers(headers)
         kept.update(self.added_headers)
@@ -96,12 +96,12 @@
             await self.response.write(data)
 
     async def finish(self):
-        """End the answer cleanly."""
+        """End the response cleanly."""
         with self._lost_reader_ignored():
             await self.response.write_eof()
 
     def abort(self):
-        """Cut the connection, so that a broken answer never looks whole."""
+        """Cut the connection, so that a broken response never looks whole."""
         transport = self._http_request.transport
         if transport is not None:
             transport.abort()
@@ -113,7 +113,7 @@
 
 
 def error_response(error, *, request_id="", is_internal=False):
-    """Return the answer to an error.
+    """Return the response to an error.
 
     Parameters
     ----------
@@ -129,7 +129,7 @@
     response : aiohttp.web.Response
         Problem details with the status of the error's kind.
     """
-    answer = answer_of(error.kind)
+    answer = response_of(error.kind)
     headers = {"X-Request-Id": request_id} if request_id else {}
     if error.retry_after is not None:
         headers["Retry-After"] = str(max(1, math.ceil(error.retry_after)))
--- a/packages/magnoliagrade/magnoliagrade/http/server.py
+++ b/packages/magnoliagrade/magnoliagrade/http/server.py
@@ -9,7 +9,7 @@
 from aiohttp.web_protocol import EMPTY_PAYLOAD, _ErrInfo
 
 from magnoliagrade.errors import ErrorKind, MagnoliagradeError
-from magnoliagrade.http.answers import error_response
+from magnoliagrade.http.responses import error_response
 from magnoliagrade.identity import new_request_id
 from magnoliagrade.observability import log_event
 
--- a/packages/magnoliagrade/magnoliagrade/node/outcomes.py
+++ b/packages/magnoliagrade/magnoliagrade/node/outcomes.py
@@ -32,7 +32,7 @@
         ----------
         attempt : str
             Id of the attempt.
-        sink : AnswerSink
+        sink : ResponseSink
             Where the answer goes.
         serve : coroutine function
             Called with the sink to write to.
--- a/packages/magnoliagrade/magnoliagrade/platform/__init__.py
+++ b/packages/magnoliagrade/magnoliagrade/platform/__init__.py
@@ -4,8 +4,6 @@
 from magnoliagrade.platform.endpoints import decode_endpoint
 from magnoliagrade.platform.fields import FormatError
 from magnoliagrade.platform.headers import (
-    answer_headers,
-    answer_identity,
     deadline_of,
     endpoint_headers,
     event_id_of,
@@ -14,6 +12,8 @@
     is_replaced,
     key_of,
     request_id_of,
+    response_headers,
+    response_identity,
 )
 from magnoliagrade.platform.items import (
     SLOW_RANKS_LIFE_S,
@@ -46,8 +46,6 @@
     "RankServer",
     "SlowRanksItem",
     "StoreEvent",
-    "answer_headers",
-    "answer_identity",
     "deadline_of",
     "decode_configuration",
     "decode_endpoint",
@@ -58,11 +56,13 @@
     "event_id_of",
     "fetch_configuration",
     "has_not_run",
+    "instance_key",
     "is_group_broken",
     "is_replaced",
-    "instance_key",
     "key_of",
     "list_endpoints",
     "request_id_of",
+    "response_headers",
+    "response_identity",
     "slow_ranks_key",
 ]
--- a/packages/magnoliagrade/magnoliagrade/platform/headers.py
+++ b/packages/magnoliagrade/magnoliagrade/platform/headers.py
@@ -5,8 +5,6 @@
 from magnoliagrade.http.headers import HOP_BY_HOP
 
 __all__ = [
-    "answer_headers",
-    "answer_identity",
     "deadline_of",
     "endpoint_headers",
     "event_id_of",
@@ -15,6 +13,8 @@
     "is_replaced",
     "key_of",
     "request_id_of",
+    "response_headers",
+    "response_identity",
 ]
 
 REQUEST_ID = "X-Magnoliagrade-Request-Id"
@@ -105,8 +105,8 @@
     return kept
 
 
-def answer_headers(headers):
-    """Return the headers of an endpoint's answer that the caller gets."""
+def response_headers(headers):
+    """Return the headers of an endpoint's response that the caller gets."""
     named = _named_by_connection(headers)
     return CIMultiDict(
         (name, value)
@@ -115,8 +115,8 @@
     )
 
 
-def answer_identity(headers):
-    """Return the request id and the signature that an answer bears."""
+def response_identity(headers):
+    """Return the request id and the signature that a response bears."""
     return headers.get(REQUEST_ID, ""), headers.get(STAMP, "")
 
 
--- a/packages/magnoliagrade/magnoliagrade/tests/test_errors.py
+++ b/packages/magnoliagrade/magnoliagrade/tests/test_errors.py
@@ -1,5 +1,5 @@
 from magnoliagrade.errors import (
-    ANSWER_BY_KIND,
+    RESPONSE_BY_KIND,
     ErrorKind,
     MagnoliagradeError,
     Ran,
@@ -8,16 +8,16 @@
 
 
 def test_every_kind_has_an_answer():
-    assert set(ANSWER_BY_KIND) == set(ErrorKind)
+    assert set(RESPONSE_BY_KIND) == set(ErrorKind)
 
 
 def test_not_run_kinds_say_so():
     for kind in (ErrorKind.NOT_RUN, ErrorKind.OVERLOADED, ErrorKind.SHUTTING_DOWN):
-        assert ANSWER_BY_KIND[kind].ran is Ran.NO
+        assert RESPONSE_BY_KIND[kind].ran is Ran.NO
 
 
 def test_what_may_have_run_is_never_retryable():
-    for kind, answer in ANSWER_BY_KIND.items():
+    for kind, answer in RESPONSE_BY_KIND.items():
         assert answer.ran is Ran.NO or not answer.retryable, kind
 
 
