--- a/packages/magnoliagrade-agent/magnoliagrade_agent/door.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/door.py
@@ -78,7 +78,7 @@
 
 
 async def _serve(node, request, headers, sink):
-    reason = node.reason_to_refuse()
+    reason = node.reason_to_reject()
     if reason:
         raise MagnoliagradeError(ErrorKind.SHUTTING_DOWN, reason)
     if request.repeatable:
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/instance.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/instance.py
@@ -119,8 +119,8 @@
         hello.rank = self.settings.rank
         return hello
 
-    def reason_to_refuse(self):
-        """Return why new work is refused, or an empty text.
+    def reason_to_reject(self):
+        """Return why new work is rejected, or an empty text.
 
         Returns
         -------
@@ -140,7 +140,7 @@
 
     def reasons_not_ready(self):
         """Return why this agent should get no requests; empty if ready."""
-        reason = self.reason_to_refuse()
+        reason = self.reason_to_reject()
         return [reason] if reason else []
 
     def labels(self):
@@ -150,7 +150,7 @@
 
     def apply_configuration(self):
         """Take a new configuration: limits, and a cold start after coming back."""
-        is_refusing = bool(self.reason_to_refuse())
+        is_refusing = bool(self.reason_to_reject())
         if self._was_refusing and not is_refusing:
             self.credits.drop_to_cold("admitted-again")
         self._was_refusing = is_refusing
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/load_watch.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/load_watch.py
@@ -153,7 +153,7 @@
 
 def send_grants(node):
     """Grant what is free to the entries that ask for it, unless leaving."""
-    if node.reason_to_refuse():
+    if node.reason_to_reject():
         return
     for grant in node.credits.distribute():
         link = node.links.by_instance.get(grant.entry)
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/direct/door.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/direct/door.py
@@ -5,7 +5,7 @@
 
 from aiohttp import web
 from magnoliagrade.errors import ErrorKind, MagnoliagradeError
-from magnoliagrade.http import error_response, log_refusal
+from magnoliagrade.http import error_response, log_rejection
 from magnoliagrade.platform import request_id_of
 from prometheus_client import Counter, Histogram
 
@@ -68,7 +68,7 @@
 
 def _refuse(node, error, request_id):
     REQUESTS.labels(error.kind.value).inc()
-    log_refusal(
+    log_rejection(
         _log,
         error,
         request_id=request_id,
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/doors.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/doors.py
@@ -9,7 +9,7 @@
     ResponseSink,
     check_incarnation,
     error_response,
-    log_refusal,
+    log_rejection,
     read_request_headers,
 )
 from magnoliagrade.http import headers as names
@@ -228,7 +228,7 @@
 
 def _answer_error(error, sink, request_id, *, door):
     REQUESTS.labels(door, error.kind.value).inc()
-    log_refusal(_log, error, request_id=request_id, door=door)
+    log_rejection(_log, error, request_id=request_id, door=door)
     if sink.has_started:
         sink.abort()
         return sink.response
--- a/packages/magnoliagrade/magnoliagrade/http/__init__.py
+++ b/packages/magnoliagrade/magnoliagrade/http/__init__.py
@@ -16,7 +16,7 @@
     change_limits,
     coded_errors,
     listen,
-    log_refusal,
+    log_rejection,
     start_listener,
 )
 
@@ -34,7 +34,7 @@
     "end_to_end_headers",
     "error_response",
     "listen",
-    "log_refusal",
+    "log_rejection",
     "read_body",
     "read_request_headers",
     "send_once",
--- a/packages/magnoliagrade/magnoliagrade/http/client.py
+++ b/packages/magnoliagrade/magnoliagrade/http/client.py
@@ -2,7 +2,7 @@
 
 import aiohttp
 
-__all__ = ["CONNECT_TIMEOUT_S", "refuse_second_send", "send_once"]
+__all__ = ["CONNECT_TIMEOUT_S", "reject_second_send", "send_once"]
 
 CONNECT_TIMEOUT_S = 2.0
 # Headers that the library adds by itself; requests travel as they came.
@@ -64,11 +64,11 @@
         skip_auto_headers=_LIBRARY_HEADERS,
         allow_redirects=False,
         timeout=aiohttp.ClientTimeout(total=None, connect=connect_s, sock_read=stall_s),
-        middlewares=(refuse_second_send(),),
+        middlewares=(reject_second_send(),),
     )
 
 
-def refuse_second_send():
+def reject_second_send():
     """Return a client middleware that lets one request through, once.
 
     Notes
--- a/packages/magnoliagrade/magnoliagrade/http/server.py
+++ b/packages/magnoliagrade/magnoliagrade/http/server.py
@@ -18,7 +18,7 @@
     "change_limits",
     "coded_errors",
     "listen",
-    "log_refusal",
+    "log_rejection",
     "start_listener",
 ]
 
@@ -133,7 +133,7 @@
     return f"{bound_host}:{bound_port}"
 
 
-def log_refusal(logger, error, *, request_id, **fields):
+def log_rejection(logger, error, *, request_id, **fields):
     """Write the event of a request that was answered with an error.
 
     Parameters
@@ -256,7 +256,7 @@
         else:
             error = _coded(exc)
         request_id = new_request_id()
-        log_refusal(_log, error, request_id=request_id)
+        log_rejection(_log, error, request_id=request_id)
         if request.writer.output_size > 0:
             raise ConnectionError("the answer had begun; the connection is cut")
         response = error_response(
--- a/packages/magnoliagrade/magnoliagrade/platform/store.py
+++ b/packages/magnoliagrade/magnoliagrade/platform/store.py
@@ -8,7 +8,7 @@
 import aiohttp
 
 from magnoliagrade.errors import ErrorKind, MagnoliagradeError
-from magnoliagrade.http.client import refuse_second_send
+from magnoliagrade.http.client import reject_second_send
 from magnoliagrade.store.client import (
     STORE_CALLS,
     StoreConflict,
@@ -185,7 +185,7 @@
                 self._url + path,
                 params=params,
                 json=document,
-                middlewares=(refuse_second_send(),) if method != "GET" else None,
+                middlewares=(reject_second_send(),) if method != "GET" else None,
             ) as response,
         ):
             data = await response.read()
--- a/packages/magnoliagrade/magnoliagrade/store/client.py
+++ b/packages/magnoliagrade/magnoliagrade/store/client.py
@@ -9,7 +9,7 @@
 from prometheus_client import Counter
 
 from magnoliagrade.errors import ErrorKind, MagnoliagradeError
-from magnoliagrade.http.client import refuse_second_send
+from magnoliagrade.http.client import reject_second_send
 
 __all__ = ["HttpStore", "Store", "StoreConflict", "StoreUnavailable", "StoreValue"]
 
@@ -223,7 +223,7 @@
                 self._url + path,
                 params=params,
                 data=data,
-                middlewares=(refuse_second_send(),) if method != "GET" else None,
+                middlewares=(reject_second_send(),) if method != "GET" else None,
             ) as response,
         ):
             body = await response.read()
