--- a/packages/magnoliagrade-agent/magnoliagrade_agent/instance.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/instance.py
@@ -4,7 +4,7 @@
 import logging
 
 from magnoliagrade.algorithms import parse_selector
-from magnoliagrade.node import AttemptBook, Node, OutcomeBook
+from magnoliagrade.node import AttemptTable, Node, OutcomeTable
 from magnoliagrade.observability import log_event
 from magnoliagrade.wire import Label
 from magnoliagrade.world import Role, Work
@@ -56,8 +56,8 @@
             task_table=agent_tasks,
             clock=clock,
         )
-        self.attempts = AttemptBook()
-        self.outcomes = OutcomeBook()
+        self.attempts = AttemptTable()
+        self.outcomes = OutcomeTable()
         self.credits = CreditBook(
             limit_policy=limit_policies.get(DEFAULT_LIMIT_POLICY)(),
             clock=self.clock,
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/instance.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/instance.py
@@ -4,7 +4,7 @@
 
 from magnoliagrade.configuration import ConfigurationRepository
 from magnoliagrade.http import BodyBudget, ListenerLimits
-from magnoliagrade.node import Node, OutcomeBook
+from magnoliagrade.node import Node, OutcomeTable
 from magnoliagrade.observability import log_event
 from magnoliagrade.store import HttpInstanceList
 from magnoliagrade.world import Role
@@ -24,7 +24,7 @@
 from magnoliagrade_entry.membership.messages import note_listed_departures
 from magnoliagrade_entry.requests import (
     Dispatcher,
-    ForwardedBook,
+    ForwardedTable,
     Revocations,
     admission_policies,
 )
@@ -100,8 +100,8 @@
         self.admission = admission_policies.get("fair")(node=self)
         self.dispatcher = Dispatcher(node=self)
         self.claims = ClaimGuard(node=self)
-        self.forwarded = ForwardedBook(node=self)
-        self.outcomes = OutcomeBook()
+        self.forwarded = ForwardedTable(node=self)
+        self.outcomes = OutcomeTable()
         self.revocations = Revocations(node=self)
         self.link_keeper = LinkKeeper(node=self)
         self.duty = WatchDuty(node=self)
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/requests/__init__.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/requests/__init__.py
@@ -5,7 +5,7 @@
 from magnoliagrade_entry.requests.arrival import read_arrival, request_id_of
 from magnoliagrade_entry.requests.attempt import AttemptFailed, run_attempt
 from magnoliagrade_entry.requests.dispatch import Dispatcher
-from magnoliagrade_entry.requests.forwarded import ForwardedBook
+from magnoliagrade_entry.requests.forwarded import ForwardedTable
 from magnoliagrade_entry.requests.revocation import Revocations
 
 __all__ = [
@@ -13,7 +13,7 @@
     "AttemptFailed",
     "Dispatcher",
     "FairAdmission",
-    "ForwardedBook",
+    "ForwardedTable",
     "Revocations",
     "admission_policies",
     "read_arrival",
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/requests/forwarded.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/requests/forwarded.py
@@ -2,14 +2,14 @@
 
 from dataclasses import dataclass
 
-from magnoliagrade.node import AttemptBook
+from magnoliagrade.node import AttemptTable
 from magnoliagrade.wire import Revoke
 
 from magnoliagrade_entry.handlers import entry_handlers
 from magnoliagrade_entry.requests.revocation import REVOKE_WAIT_S
 from magnoliagrade_entry.routing import Placement
 
-__all__ = ["ForwardedBook"]
+__all__ = ["ForwardedTable"]
 
 
 @dataclass(slots=True, kw_only=True)
@@ -18,7 +18,7 @@
     attempt: str
 
 
-class ForwardedBook:
+class ForwardedTable:
     """Non-repeatable requests of peer entries and where they were sent.
 
     Parameters
@@ -36,7 +36,7 @@
 
     def __init__(self, *, node):
         self._node = node
-        self._attempts = AttemptBook()
+        self._attempts = AttemptTable()
         self._sent_by_attempt = {}
         self._relayed = set()
 
--- a/packages/magnoliagrade/magnoliagrade/node/__init__.py
+++ b/packages/magnoliagrade/magnoliagrade/node/__init__.py
@@ -1,6 +1,6 @@
 """What the entry and the agent have in common as running processes."""
 
-from magnoliagrade.node.attempts import AttemptBook
+from magnoliagrade.node.attempts import AttemptTable
 from magnoliagrade.node.command_line import has_further_flags
 from magnoliagrade.node.commands import (
     EXIT_INVALID,
@@ -15,9 +15,9 @@
 from magnoliagrade.node.configuration_state import ConfigurationState
 from magnoliagrade.node.direct_settings import DirectProcessSettings
 from magnoliagrade.node.handlers import HandlerTable
-from magnoliagrade.node.links import LinkBook, run_link, send_heartbeats
+from magnoliagrade.node.links import LinkTable, run_link, send_heartbeats
 from magnoliagrade.node.node import Node
-from magnoliagrade.node.outcomes import OutcomeBook
+from magnoliagrade.node.outcomes import OutcomeTable
 from magnoliagrade.node.process import announce_ready, run_until_signal, start_site
 from magnoliagrade.node.settings import NodeSettings
 from magnoliagrade.node.status_report import register_status
@@ -25,15 +25,15 @@
 
 __all__ = [
     "EXIT_INVALID",
-    "AttemptBook",
+    "AttemptTable",
     "ConfigurationSpread",
     "ConfigurationState",
     "DirectProcessSettings",
     "HandlerTable",
-    "LinkBook",
+    "LinkTable",
     "Node",
     "NodeSettings",
-    "OutcomeBook",
+    "OutcomeTable",
     "TaskTable",
     "Tasks",
     "announce_ready",
--- a/packages/magnoliagrade/magnoliagrade/node/attempts.py
+++ b/packages/magnoliagrade/magnoliagrade/node/attempts.py
@@ -1,11 +1,11 @@
-"""A book of attempts: which started and which were revoked."""
+"""A table of attempts: which started and which were revoked."""
 
 import enum
 from collections import OrderedDict
 
 from magnoliagrade.errors import ErrorKind, MagnoliagradeError
 
-__all__ = ["AttemptBook"]
+__all__ = ["AttemptTable"]
 
 MAX_ATTEMPTS_KEPT = 20_000
 MAX_SENDERS_KEPT = 10_000
@@ -16,7 +16,7 @@
     REVOKED = "revoked"
 
 
-class AttemptBook:
+class AttemptTable:
     """Attempts at non-repeatable requests that started here or were revoked.
 
     Parameters
@@ -28,17 +28,17 @@
     -----
     An attempt id names its sender's incarnation and a number that grows. When an
     attempt is forgotten, its number becomes the sender's floor: of attempts up to
-    the floor the book says neither that they never started nor lets them start, so
+    the floor the table says neither that they never started nor lets them start, so
     forgetting costs an outcome that could have been known and never a second run.
-    Time and memory of an operation do not grow with the book.
+    Time and memory of an operation do not grow with the table.
 
     Examples
     --------
-    >>> book = AttemptBook()
-    >>> book.revoke("a.1.7")
+    >>> table = AttemptTable()
+    >>> table.revoke("a.1.7")
     True
-    >>> book.begin("a.1.8")
-    >>> book.revoke("a.1.8")
+    >>> table.begin("a.1.8")
+    >>> table.revoke("a.1.8")
     False
     """
 
@@ -61,7 +61,7 @@
         ------
         MagnoliagradeError
             `NOT_RUN` if it was revoked, `OUTCOME_UNKNOWN` if it has started before
-            or is older than the book.
+            or is older than the table.
         """
         self.check(attempt)
         self._remember(attempt, _State.STARTED)
--- a/packages/magnoliagrade/magnoliagrade/node/links.py
+++ b/packages/magnoliagrade/magnoliagrade/node/links.py
@@ -5,7 +5,7 @@
 from magnoliagrade.observability.logs import log_event
 from magnoliagrade.wire import Heartbeat
 
-__all__ = ["LinkBook", "run_link", "send_heartbeats"]
+__all__ = ["LinkTable", "run_link", "send_heartbeats"]
 
 HEARTBEAT_INTERVAL_S = 2.0
 # The longest time between two messages of a healthy link.
@@ -15,7 +15,7 @@
 _log = logging.getLogger(__name__)
 
 
-class LinkBook:
+class LinkTable:
     """Open links by the instance on the other side.
 
     Parameters
@@ -108,7 +108,7 @@
     Parameters
     ----------
     node : object
-        Entry or agent with a `links` book and `on_link_up`, `on_link_down`.
+        Entry or agent with a `links` table and `on_link_up`, `on_link_down`.
     link : Link
         A link whose sides have said hello.
     handlers : HandlerTable
@@ -138,7 +138,7 @@
     Parameters
     ----------
     node : object
-        Entry or agent with a `links` book and a `clock`.
+        Entry or agent with a `links` table and a `clock`.
 
     Notes
     -----
--- a/packages/magnoliagrade/magnoliagrade/node/node.py
+++ b/packages/magnoliagrade/magnoliagrade/node/node.py
@@ -11,7 +11,7 @@
 from magnoliagrade.node.admin import make_admin_app
 from magnoliagrade.node.configuration_spread import ConfigurationSpread
 from magnoliagrade.node.configuration_state import ConfigurationState
-from magnoliagrade.node.links import LinkBook, run_link
+from magnoliagrade.node.links import LinkTable, run_link
 from magnoliagrade.node.metrics import expose_process_metrics
 from magnoliagrade.node.process import announce_ready, bound_address, start_site
 from magnoliagrade.node.tasks import Tasks
@@ -83,7 +83,7 @@
             clock=self.clock, skipped_kinds=self.unused_kinds
         )
         self.spread = ConfigurationSpread(node=self)
-        self.links = LinkBook(clock=self.clock, own_name=settings.name)
+        self.links = LinkTable(clock=self.clock, own_name=settings.name)
         self.counters = LinkCounters()
         self.tasks = Tasks()
         self.is_leaving = False
--- a/packages/magnoliagrade/magnoliagrade/node/outcomes.py
+++ b/packages/magnoliagrade/magnoliagrade/node/outcomes.py
@@ -1,21 +1,21 @@
-"""A book of how orders ended, for an entry that lost the answer."""
+"""A table of how orders ended, for an entry that lost the answer."""
 
 from collections import OrderedDict
 
 from magnoliagrade.http.recording import RecordingSink
 from magnoliagrade.wire import RevokeAnswer
 
-__all__ = ["OutcomeBook"]
+__all__ = ["OutcomeTable"]
 
 MAX_OUTCOMES_KEPT = 2_000
 
 
-class OutcomeBook:
+class OutcomeTable:
     """Orders that run here and recorded answers of those that ended.
 
     Notes
     -----
-    The book only ever adds knowledge: what it has forgotten is an unknown outcome.
+    The table only ever adds knowledge: what it has forgotten is an unknown outcome.
     At most 2,000 answers of half a kilobyte are kept.
     """
 
--- a/packages/magnoliagrade/magnoliagrade/node/tests/test_attempts.py
+++ b/packages/magnoliagrade/magnoliagrade/node/tests/test_attempts.py
@@ -1,37 +1,37 @@
-"""The book of attempts: starts, tombstones, what forgetting means."""
+"""The table of attempts: starts, tombstones, what forgetting means."""
 
 from hypothesis import given
 from hypothesis import strategies as st
 
 from magnoliagrade.errors import ErrorKind, MagnoliagradeError
-from magnoliagrade.node import AttemptBook
+from magnoliagrade.node import AttemptTable
 
 
-def _kind(book, attempt):
+def _kind(table, attempt):
     try:
-        book.begin(attempt)
+        table.begin(attempt)
     except MagnoliagradeError as exc:
         return exc.kind
     return None
 
 
 def test_revoked_attempt_never_begins():
-    book = AttemptBook()
-    assert book.revoke("e.1.1")
-    assert _kind(book, "e.1.1") is ErrorKind.NOT_RUN
+    table = AttemptTable()
+    assert table.revoke("e.1.1")
+    assert _kind(table, "e.1.1") is ErrorKind.NOT_RUN
 
 
 def test_attempt_that_did_not_reach_the_endpoint_counts_as_never_started():
-    book = AttemptBook()
-    book.begin("e.1.1")
-    book.undo("e.1.1")
-    assert book.revoke("e.1.1")
+    table = AttemptTable()
+    table.begin("e.1.1")
+    table.undo("e.1.1")
+    assert table.revoke("e.1.1")
 
 
 def test_second_copy_is_refused():
-    book = AttemptBook()
-    book.begin("e.1.1")
-    assert _kind(book, "e.1.1") is ErrorKind.OUTCOME_UNKNOWN
+    table = AttemptTable()
+    table.begin("e.1.1")
+    assert _kind(table, "e.1.1") is ErrorKind.OUTCOME_UNKNOWN
 
 
 _STEPS = st.lists(st.tuples(st.booleans(), st.integers(1, 6)), max_size=40)
@@ -40,14 +40,14 @@
 @given(_STEPS, st.integers(1, 4))
 def test_forgetting_never_allows_what_was_denied(steps, kept):
     """Never started is said only of attempts that never start, however few are kept."""
-    book = AttemptBook(max_attempts=kept)
+    table = AttemptTable(max_attempts=kept)
     begun, promised = set(), set()
     for is_begin, number in steps:
         attempt = f"e.1.{number}"
         if is_begin:
-            if _kind(book, attempt) is None:
+            if _kind(table, attempt) is None:
                 assert attempt not in begun
                 begun.add(attempt)
-        elif book.revoke(attempt):
+        elif table.revoke(attempt):
             promised.add(attempt)
     assert not begun & promised
--- a/packages/magnoliagrade/magnoliagrade/node/tests/test_links.py
+++ b/packages/magnoliagrade/magnoliagrade/node/tests/test_links.py
@@ -1,7 +1,7 @@
 import asyncio
 
 from magnoliagrade.clock import ManualClock
-from magnoliagrade.node import ConfigurationState, HandlerTable, LinkBook, run_link
+from magnoliagrade.node import ConfigurationState, HandlerTable, LinkTable, run_link
 from magnoliagrade.node.links import HEARTBEAT_GAP_S
 from magnoliagrade.wire import Hello
 
@@ -20,33 +20,33 @@
 def test_both_sides_keep_the_same_of_two_links():
     for own, keeps_dialled in (("a", True), ("c", False)):
         for first_dialled in (True, False):
-            book = LinkBook(clock=ManualClock(), own_name=own)
+            table = LinkTable(clock=ManualClock(), own_name=own)
             first = FakeLink(is_dialled=first_dialled)
             second = FakeLink(is_dialled=not first_dialled)
-            book.add(first)
-            book.add(second)
-            kept = book.by_instance["b"]
+            table.add(first)
+            table.add(second)
+            kept = table.by_instance["b"]
             assert kept.is_dialled is keeps_dialled
             assert not kept.is_closing
             assert {first.is_closing, second.is_closing} == {True, False}
 
 
 def test_newer_link_of_the_same_side_or_of_a_new_incarnation_wins():
-    book = LinkBook(clock=ManualClock(), own_name="a")
+    table = LinkTable(clock=ManualClock(), own_name="a")
     first = FakeLink(is_dialled=True)
-    book.add(first)
+    table.add(first)
     again = FakeLink(is_dialled=True)
-    assert book.add(again) and first.is_closing
+    assert table.add(again) and first.is_closing
     restarted = FakeLink(is_dialled=False, incarnation=2)
-    assert book.add(restarted) and again.is_closing
+    assert table.add(restarted) and again.is_closing
 
 
 def test_silent_link_gives_way():
     clock = ManualClock()
-    book = LinkBook(clock=clock, own_name="a")
-    book.add(FakeLink(is_dialled=True))
+    table = LinkTable(clock=clock, own_name="a")
+    table.add(FakeLink(is_dialled=True))
     clock._time += HEARTBEAT_GAP_S + 0.1
-    assert book.add(FakeLink(is_dialled=False))
+    assert table.add(FakeLink(is_dialled=False))
 
 
 class SilentLink(FakeLink):
@@ -60,7 +60,7 @@
 class NodeBehind:
     def __init__(self):
         clock = ManualClock()
-        self.links = LinkBook(clock=clock, own_name="a")
+        self.links = LinkTable(clock=clock, own_name="a")
         self.configuration = ConfigurationState(clock=clock)
         self.asked = []
 
