--- a/packages/magnoliagrade-agent/magnoliagrade_agent/direct/__main__.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/direct/__main__.py
@@ -2,12 +2,12 @@
 
 import sys
 
-from magnoliagrade.early_start import leave_out_certificates
+from magnoliagrade.early_start import skip_ca_certificates
 
 
 def main(file):
     """Import what an agent needs and serve."""
-    leave_out_certificates()
+    skip_ca_certificates()
     from magnoliagrade.node import serve_node
 
     from magnoliagrade_agent.direct import DirectAgent, DirectAgentSettings
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/group/service.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/group/service.py
@@ -113,8 +113,8 @@
         link_by_rank.pop(self.member.rank, None)
         if len(link_by_rank) < self.member.ranks - 1:
             return False
-        silent_for = self.node.links.silent_for
-        return all(silent_for(k) < PEER_GRACE_S for k in link_by_rank.values())
+        silence_s = self.node.links.silence_s
+        return all(silence_s(k) < PEER_GRACE_S for k in link_by_rank.values())
 
     def link_of(self, rank):
         """Return the link to a rank's agent, or None."""
@@ -164,7 +164,7 @@
             if was_running and not self.member.is_running:
                 self._break_requests()
         if was_running != self.member.is_running:
-            self.tell_entries()
+            self.notify_entries()
 
     async def tick(self):
         """Look after the rank, send again what others may have missed."""
@@ -177,9 +177,9 @@
             self._open_since = now
         is_due = is_open and now - self._open_since > QUERY_AFTER_S
         await self.act(self.member.tick, is_query_due=is_due)
-        self.tell_entries()
+        self.notify_entries()
         if self.node.is_leaving or self.state_by_rank:
-            self.tell_peers()
+            self.notify_peers()
         metrics.update(self)
 
     async def _watch_rank(self):
@@ -291,8 +291,8 @@
             )
             link.send(join)
 
-    def tell_entries(self):
-        """Tell every entry whether the group can take requests, if that changed."""
+    def notify_entries(self):
+        """Notify every entry whether the group can take requests, if that changed."""
         state = self._state()
         if state == self._told_state:
             return
@@ -300,8 +300,8 @@
         for link in self.node.links.of_role(Role.ENTRY):
             link.send(state)
 
-    def tell_peers(self):
-        """Tell the agents of the other ranks what is in flight here."""
+    def notify_peers(self):
+        """Notify the agents of the other ranks of what is in flight here."""
         state = self._state()
         state.requests_in_flight = len(self._requests)
         state.is_leaving = self.node.is_leaving
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/instance.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/instance.py
@@ -98,7 +98,7 @@
         """Leave gracefully: finish everything in flight, then close."""
         in_flight = self.credits.count_in_flight
         log_event(_log, "agent.leaving", requests_in_flight=in_flight)
-        await self.say_leaving()
+        await self.announce_leaving()
         await self.wait_for_requests(self.count_in_flight)
         await self.close()
         await self.order_session.close()
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/direct/__main__.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/direct/__main__.py
@@ -3,13 +3,13 @@
 import functools
 import sys
 
-from magnoliagrade.early_start import leave_out_certificates, open_listener
+from magnoliagrade.early_start import open_listener, skip_ca_certificates
 
 
 def main(file):
     """Listen for callers, then import the rest and serve."""
     listener = open_listener(file, section="listen", option="caller_address")
-    leave_out_certificates()
+    skip_ca_certificates()
     from magnoliagrade.node import serve_node
 
     from magnoliagrade_entry.direct import DirectEntry, DirectSettings
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/instance.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/instance.py
@@ -136,7 +136,7 @@
     async def stop(self):
         """Leave gracefully: finish everything in flight, then close."""
         log_event(_log, "entry.leaving", requests_in_flight=self.requests_in_flight)
-        await self.say_leaving()
+        await self.announce_leaving()
         await self.clock.sleep(self.settings.drain_lag_s)
         self.closes_connections = True
         await self.wait_for_requests(lambda: self.requests_in_flight)
--- a/packages/magnoliagrade/magnoliagrade/early_start.py
+++ b/packages/magnoliagrade/magnoliagrade/early_start.py
@@ -8,7 +8,7 @@
 import os
 import socket
 
-__all__ = ["leave_out_certificates", "open_listener"]
+__all__ = ["open_listener", "skip_ca_certificates"]
 
 # Connections that wait for the process: about a second of a busy entry's callers.
 BACKLOG_CONNECTIONS = 128
@@ -38,7 +38,7 @@
         return None
 
 
-def leave_out_certificates():
+def skip_ca_certificates():
     """Spare the HTTP library the certificates that it would load when it is imported.
 
     The direct processes speak no TLS, and the certificates take a fifth of a start.
--- a/packages/magnoliagrade/magnoliagrade/node/links.py
+++ b/packages/magnoliagrade/magnoliagrade/node/links.py
@@ -67,7 +67,7 @@
             return False
         if older.is_dialled == newer.is_dialled:
             return False
-        if self.silent_for(older) > HEARTBEAT_GAP_S:
+        if self.silence_s(older) > HEARTBEAT_GAP_S:
             return False
         return older.is_dialled == (self._own_name < older.peer_instance)
 
@@ -77,11 +77,11 @@
         if self.by_instance.get(link.peer_instance) is link:
             del self.by_instance[link.peer_instance]
 
-    def note_heard(self, link):
+    def note_received(self, link):
         """Note that something arrived on a link."""
         self._heard_by_link[link] = self._clock.monotonic()
 
-    def silent_for(self, link):
+    def silence_s(self, link):
         """Return the seconds since something arrived on a link."""
         heard = self._heard_by_link.get(link, self._clock.monotonic())
         return self._clock.monotonic() - heard
@@ -123,7 +123,7 @@
         _note_revision(node, link)
         while True:
             message = await link.receive()
-            node.links.note_heard(link)
+            node.links.note_received(link)
             _note_revision(node, link)
             await handlers.handle(node, link, message)
     finally:
@@ -148,7 +148,7 @@
     while True:
         await node.clock.sleep(HEARTBEAT_INTERVAL_S)
         for link in list(node.links.by_instance.values()):
-            if node.links.silent_for(link) > SILENCE_LIMIT_S:
+            if node.links.silence_s(link) > SILENCE_LIMIT_S:
                 log_event(_log, "link.silent", peer=link.peer_instance)
                 link.close()
                 continue
--- a/packages/magnoliagrade/magnoliagrade/node/node.py
+++ b/packages/magnoliagrade/magnoliagrade/node/node.py
@@ -187,8 +187,8 @@
             self.tasks.start(function(self), name=name)
         announce_ready(**self.addresses)
 
-    async def say_leaving(self):
-        """Tell every linked instance that this one takes no new work."""
+    async def announce_leaving(self):
+        """Announce to every linked instance that this one takes no new work."""
         self.is_leaving = True
         self.links.broadcast(Leaving(reason="shutdown"))
         await asyncio.sleep(0)
