--- a/packages/magnoliagrade-agent/magnoliagrade_agent/handlers.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/handlers.py
@@ -5,7 +5,7 @@
 from magnoliagrade.node import (
     HandlerTable,
     TaskTable,
-    register_spread,
+    register_propagation,
     register_status,
     send_heartbeats,
 )
@@ -22,7 +22,7 @@
 agent_handlers = HandlerTable()
 agent_tasks = TaskTable()
 agent_tasks.register("heartbeats")(send_heartbeats)
-register_spread(agent_handlers)
+register_propagation(agent_handlers)
 register_status(agent_handlers)
 
 
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/configuration_routes.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/configuration_routes.py
@@ -77,7 +77,7 @@
         **{**fields, "operation": operation},
         held_revision=node.configuration.revision,
     )
-    await node.spread.put_in_force(stored, source="operator")
+    await node.propagation.put_in_force(stored, source="operator")
     return stored.root.change_of(operation)
 
 
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/configuration_watch.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/configuration_watch.py
@@ -3,7 +3,7 @@
 import logging
 
 from magnoliagrade.errors import ErrorKind, MagnoliagradeError
-from magnoliagrade.node import register_spread, register_status
+from magnoliagrade.node import register_propagation, register_status
 from magnoliagrade.observability import log_event
 from prometheus_client import Gauge
 
@@ -30,7 +30,7 @@
     "Whether the store left this entry's last reading of it without an answer",
 )
 _log = logging.getLogger(__name__)
-register_spread(entry_handlers)
+register_propagation(entry_handlers)
 register_status(entry_handlers)
 
 
@@ -128,7 +128,7 @@
             return
         FORKED.set(0)
         if stored is not None:
-            await self._node.spread.put_in_force(stored, source="store")
+            await self._node.propagation.put_in_force(stored, source="store")
 
     async def _restore(self):
         node = self._node
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/slopes/watching.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/slopes/watching.py
@@ -5,7 +5,7 @@
 from types import SimpleNamespace
 
 from magnoliagrade.configuration import ConfigurationRepository, SetLabels
-from magnoliagrade.node import ConfigurationSpread, ConfigurationState, Tasks
+from magnoliagrade.node import ConfigurationPropagation, ConfigurationState, Tasks
 from magnoliagrade.wire import ConfigurationOffer, ConfigurationPull, ConfigurationWatch
 from magnoliagrade.world import Role
 from magnoliagrade_entry.configuration_duty import WatchDuty
@@ -17,7 +17,7 @@
 
 
 class WatchFleet:
-    """Entries that only watch and spread the configuration.
+    """Entries that only watch and propagate the configuration.
 
     Parameters
     ----------
@@ -91,7 +91,7 @@
             links=_Links(),
             tasks=Tasks(),
         )
-        node.spread = ConfigurationSpread(node=node)
+        node.propagation = ConfigurationPropagation(node=node)
         node.duty = WatchDuty(node=node)
         return node
 
@@ -138,11 +138,11 @@
 
     async def deliver(self, message, revision):
         self.peer_revision = revision
-        self._own.spread.on_message(self)
+        self._own.propagation.on_message(self)
         if isinstance(message, ConfigurationPull):
-            await self._own.spread.on_pull(self, message)
+            await self._own.propagation.on_pull(self, message)
         elif isinstance(message, ConfigurationOffer):
-            await self._own.spread.on_offer(self, message)
+            await self._own.propagation.on_offer(self, message)
         elif isinstance(message, ConfigurationWatch):
             self._own.duty.note(self.peer_instance, is_watching=message.is_watching)
 
--- a/packages/magnoliagrade/magnoliagrade/node/__init__.py
+++ b/packages/magnoliagrade/magnoliagrade/node/__init__.py
@@ -9,8 +9,8 @@
     serve_node,
 )
 from magnoliagrade.node.configuration_spread import (
-    ConfigurationSpread,
-    register_spread,
+    ConfigurationPropagation,
+    register_propagation,
 )
 from magnoliagrade.node.configuration_state import ConfigurationState
 from magnoliagrade.node.direct_settings import DirectProcessSettings
@@ -26,7 +26,7 @@
 __all__ = [
     "EXIT_INVALID",
     "AttemptTable",
-    "ConfigurationSpread",
+    "ConfigurationPropagation",
     "ConfigurationState",
     "DirectProcessSettings",
     "HandlerTable",
@@ -39,7 +39,7 @@
     "announce_ready",
     "check_settings",
     "has_further_flags",
-    "register_spread",
+    "register_propagation",
     "register_status",
     "run_command_line",
     "run_link",
--- a/packages/magnoliagrade/magnoliagrade/node/configuration_spread.py
+++ b/packages/magnoliagrade/magnoliagrade/node/configuration_spread.py
@@ -16,7 +16,7 @@
     Heartbeat,
 )
 
-__all__ = ["ConfigurationSpread", "register_spread"]
+__all__ = ["ConfigurationPropagation", "register_propagation"]
 
 PULL_TIMEOUT_S = 1.0
 OFFER_LIMIT_BYTES = 1024 * 1024
@@ -30,7 +30,7 @@
 _log = logging.getLogger(__name__)
 
 
-class ConfigurationSpread:
+class ConfigurationPropagation:
     """Pulls newer configurations from peers and hands the own one out.
 
     Parameters
@@ -164,7 +164,7 @@
         return held
 
 
-def register_spread(handlers):
+def register_propagation(handlers):
     """File the handlers of the configuration's messages in a table.
 
     Parameters
@@ -175,11 +175,11 @@
 
     @handlers.on(ConfigurationPull)
     async def on_pull(node, link, message):
-        await node.spread.on_pull(link, message)
+        await node.propagation.on_pull(link, message)
 
     @handlers.on(ConfigurationOffer)
     async def on_offer(node, link, message):
-        await node.spread.on_offer(link, message)
+        await node.propagation.on_offer(link, message)
 
 
 def _spare_from_collection():
--- a/packages/magnoliagrade/magnoliagrade/node/node.py
+++ b/packages/magnoliagrade/magnoliagrade/node/node.py
@@ -9,7 +9,7 @@
 from magnoliagrade.http import ListenerLimits, start_listener
 from magnoliagrade.identity import InstanceIdentity, new_incarnation
 from magnoliagrade.node.admin import make_admin_app
-from magnoliagrade.node.configuration_spread import ConfigurationSpread
+from magnoliagrade.node.configuration_spread import ConfigurationPropagation
 from magnoliagrade.node.configuration_state import ConfigurationState
 from magnoliagrade.node.links import LinkTable, run_link
 from magnoliagrade.node.metrics import expose_process_metrics
@@ -59,10 +59,10 @@
         "identity",
         "is_leaving",
         "links",
+        "propagation",
         "rng",
         "session",
         "settings",
-        "spread",
         "store",
         "tasks",
     )
@@ -82,7 +82,7 @@
         self.configuration = ConfigurationState(
             clock=self.clock, skipped_kinds=self.unused_kinds
         )
-        self.spread = ConfigurationSpread(node=self)
+        self.propagation = ConfigurationPropagation(node=self)
         self.links = LinkTable(clock=self.clock, own_name=settings.name)
         self.counters = LinkCounters()
         self.tasks = Tasks()
@@ -254,7 +254,7 @@
 
     def on_peer_ahead(self, link):
         """Ask the other side of a link for its newer configuration."""
-        self.spread.on_message(link)
+        self.propagation.on_message(link)
 
     def on_link_up(self, link):
         """Note that a link has come up."""
--- a/packages/magnoliagrade/magnoliagrade/node/tests/test_configuration_spread.py
+++ b/packages/magnoliagrade/magnoliagrade/node/tests/test_configuration_spread.py
@@ -7,7 +7,7 @@
     ConfigurationRoot,
     StoredConfiguration,
 )
-from magnoliagrade.node import ConfigurationSpread, ConfigurationState, Tasks
+from magnoliagrade.node import ConfigurationPropagation, ConfigurationState, Tasks
 from magnoliagrade.wire import ConfigurationOffer, ConfigurationPull
 
 
@@ -31,7 +31,7 @@
         links=SimpleNamespace(broadcast=lambda message: None),
         tasks=Tasks(),
     )
-    node.spread = ConfigurationSpread(node=node)
+    node.propagation = ConfigurationPropagation(node=node)
     return node
 
 
@@ -53,16 +53,16 @@
     async def main():
         node = _node(ManualClock())
         first, second = _Link(2), _Link(2)
-        node.spread.on_message(first)
-        node.spread.on_message(second)
+        node.propagation.on_message(first)
+        node.propagation.on_message(second)
         assert (first.pulls, second.pulls) == (1, 0)
         # The store was faster than the peer.
-        await node.spread.put_in_force(_stored(2), source="store")
-        await node.spread.on_offer(first, _offer(2))
+        await node.propagation.put_in_force(_stored(2), source="store")
+        await node.propagation.on_offer(first, _offer(2))
         second.peer_revision = 3
-        node.spread.on_message(second)
+        node.propagation.on_message(second)
         assert second.pulls == 1
-        await node.spread.on_offer(second, _offer(3))
+        await node.propagation.on_offer(second, _offer(3))
         assert node.configuration.revision == 3
         await node.tasks.stop()
 
@@ -74,8 +74,8 @@
         clock = ManualClock()
         node = _node(clock)
         silent, other = _Link(2), _Link(2)
-        node.spread.on_message(silent)
-        node.spread.on_message(other)
+        node.propagation.on_message(silent)
+        node.propagation.on_message(other)
         await clock.advance(0)
         await clock.advance(1.1)
         assert (silent.pulls, other.pulls) == (1, 1)
@@ -87,10 +87,10 @@
 def test_lower_revision_never_comes_into_force():
     async def main():
         node = _node(ManualClock())
-        await node.spread.put_in_force(_stored(5), source="store")
+        await node.propagation.put_in_force(_stored(5), source="store")
         for source in ("store", "peer", "operator"):
-            await node.spread.put_in_force(_stored(4), source=source)
-        await node.spread.on_offer(_Link(4), _offer(4))
+            await node.propagation.put_in_force(_stored(4), source=source)
+        await node.propagation.on_offer(_Link(4), _offer(4))
         assert node.configuration.revision == 5
         assert not node.configuration.offer(_stored(5), source="store")
 
