--- a/packages/magnoliagrade-entry/magnoliagrade_entry/requests/shared_rates.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/requests/shared_rates.py
@@ -4,7 +4,7 @@
 
 from magnoliagrade.algorithms import TokenBucket
 
-__all__ = ["HeardUsage", "SharedRates"]
+__all__ = ["ReportedUsage", "SharedRates"]
 
 BURST_S = 2.0
 STALE_S = 8.0
@@ -14,8 +14,8 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class HeardUsage:
-    """Demand that another entry, or all of another data centre, told of.
+class ReportedUsage:
+    """Demand that another entry, or all of another data centre, reported.
 
     Parameters
     ----------
@@ -57,7 +57,8 @@
     >>> rates.entries = 4
     >>> rates.part("o", 100.0)
     25.0
-    >>> rates.hear("peer", HeardUsage(entries=3, demand_by_organisation={"o": 0.0}))
+    >>> usage = ReportedUsage(entries=3, demand_by_organisation={"o": 0.0})
+    >>> rates.note_report("peer", usage)
     >>> rates.note_demand("o", 50.0)
     >>> rates.end_interval(1.0)
     >>> rates.part("o", 100.0) > 75
@@ -81,7 +82,7 @@
         self.demand_by_organisation = {}
         self.entries = 1
 
-    def hear(self, source, usage):
+    def note_report(self, source, usage):
         """Take the demand of another entry or data centre."""
         usage.at = self._clock.monotonic()
         self._heard_by_source[source] = usage
@@ -111,14 +112,14 @@
         Parameters
         ----------
         sources : iterable of str
-            Whose heard demand is added.
+            Whose reported demand is added.
 
         Returns
         -------
-        usage : HeardUsage
+        usage : ReportedUsage
             The sums over all that were heard lately.
         """
-        total = HeardUsage(demand_by_organisation=dict(self.demand_by_organisation))
+        total = ReportedUsage(demand_by_organisation=dict(self.demand_by_organisation))
         for source in sources:
             heard = self._heard_by_source.get(source)
             if heard is None or not self._is_fresh(heard):
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/requests/tests/test_shared_rates.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/requests/tests/test_shared_rates.py
@@ -7,7 +7,7 @@
 from magnoliagrade_entry.requests.shared_rates import (
     FLOOR_FRACTION,
     STALE_S,
-    HeardUsage,
+    ReportedUsage,
     SharedRates,
 )
 
@@ -31,7 +31,7 @@
         for j, hearer in enumerate(entries):
             if i != j and sides[i] == sides[j]:
                 demand = dict(teller.demand_by_organisation)
-                hearer.hear(str(i), HeardUsage(demand_by_organisation=demand))
+                hearer.note_report(str(i), ReportedUsage(demand_by_organisation=demand))
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/usage_gossip.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/usage_gossip.py
@@ -4,7 +4,7 @@
 from magnoliagrade.world import Role
 
 from magnoliagrade_entry.handlers import entry_handlers, entry_tasks
-from magnoliagrade_entry.requests.shared_rates import HeardUsage
+from magnoliagrade_entry.requests.shared_rates import ReportedUsage
 
 __all__ = ["exchange_usage"]
 
@@ -73,8 +73,8 @@
 @entry_handlers.on(UsageReport)
 async def on_usage_report(node, link, message):
     """Note the demand at a peer, or in its data centre."""
-    usage = HeardUsage(
+    usage = ReportedUsage(
         entries=message.entries,
         demand_by_organisation={u.organisation: u.cost for u in message.usages},
     )
-    node.admission.rates.hear(message.data_centre or link.peer_instance, usage)
+    node.admission.rates.note_report(message.data_centre or link.peer_instance, usage)
