--- a/packages/magnoliagrade-agent/magnoliagrade_agent/door.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/door.py
@@ -1,4 +1,4 @@
-"""The HTTP door of an agent: requests from entries to its endpoint."""
+"""The HTTP listener of an agent: requests from entries to its endpoint."""
 
 import asyncio
 import logging
@@ -6,7 +6,7 @@
 import aiohttp
 from magnoliagrade.errors import ErrorKind, MagnoliagradeError
 from magnoliagrade.http import (
-    AnswerSink,
+    ResponseSink,
     check_incarnation,
     error_response,
     read_request_headers,
@@ -24,7 +24,7 @@
 from magnoliagrade_agent.group.serving import group_serving
 from magnoliagrade_agent.probe import block_endpoint
 
-__all__ = ["make_data_door"]
+__all__ = ["make_data_handler"]
 
 REQUESTS = Counter(
     "magnoliagrade_agent_requests_total", "Requests from entries by result", ["result"]
@@ -33,7 +33,7 @@
 _log = logging.getLogger(__name__)
 
 
-def make_data_door(node):
+def make_data_handler(node):
     """Return the handler of the listener that entries send requests to.
 
     Parameters
@@ -45,7 +45,7 @@
     async def handle(http_request):
         context = extract_context(http_request.headers)
         added = {names.RAN: "yes", names.ATTEMPT: _attempt_of(http_request)}
-        sink = AnswerSink(http_request=http_request, added_headers=added)
+        sink = ResponseSink(http_request=http_request, added_headers=added)
         request = None
         with _tracer.start_as_current_span(
             "agent.request", context=context, kind=trace.SpanKind.SERVER
@@ -78,7 +78,7 @@
 
 
 async def _serve(node, request, headers, sink):
-    reason = node.reason_to_refuse()
+    reason = node.reason_to_reject()
     if reason:
         raise MagnoliagradeError(ErrorKind.SHUTTING_DOWN, reason)
     if request.repeatable:
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/instance.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/instance.py
@@ -4,13 +4,13 @@
 import logging
 
 from magnoliagrade.algorithms import parse_selector
-from magnoliagrade.node import AttemptBook, Node, OutcomeBook
+from magnoliagrade.node import AttemptTable, Node, OutcomeTable
 from magnoliagrade.observability import log_event
 from magnoliagrade.wire import Label
 from magnoliagrade.world import Role, Work
 
 from magnoliagrade_agent.capacity import CreditBook, limit_policies
-from magnoliagrade_agent.door import make_data_door
+from magnoliagrade_agent.door import make_data_handler
 from magnoliagrade_agent.engine import EngineClient
 from magnoliagrade_agent.handlers import agent_handlers, agent_tasks
 from magnoliagrade_agent.load_watch import LoadWatch, send_grants
@@ -56,8 +56,8 @@
             task_table=agent_tasks,
             clock=clock,
         )
-        self.attempts = AttemptBook()
-        self.outcomes = OutcomeBook()
+        self.attempts = AttemptTable()
+        self.outcomes = OutcomeTable()
         self.credits = CreditBook(
             limit_policy=limit_policies.get(DEFAULT_LIMIT_POLICY)(),
             clock=self.clock,
@@ -83,8 +83,11 @@
         )
         if self.settings.group:
             self.group_service = _make_group_service(self)
-        await self.listen_door(
-            "data", make_data_door(self), self.settings.data_address, is_internal=True
+        await self.listen_for_requests(
+            "data",
+            make_data_handler(self),
+            self.settings.data_address,
+            is_internal=True,
         )
         await self.listen_admin()
         await self.listen_links()
@@ -95,7 +98,7 @@
         """Leave gracefully: finish everything in flight, then close."""
         in_flight = self.credits.count_in_flight
         log_event(_log, "agent.leaving", requests_in_flight=in_flight)
-        await self.say_leaving()
+        await self.announce_leaving()
         await self.wait_for_requests(self.count_in_flight)
         await self.close()
         await self.order_session.close()
@@ -116,8 +119,8 @@
         hello.rank = self.settings.rank
         return hello
 
-    def reason_to_refuse(self):
-        """Return why new work is refused, or an empty text.
+    def reason_to_reject(self):
+        """Return why new work is rejected, or an empty text.
 
         Returns
         -------
@@ -137,7 +140,7 @@
 
     def reasons_not_ready(self):
         """Return why this agent should get no requests; empty if ready."""
-        reason = self.reason_to_refuse()
+        reason = self.reason_to_reject()
         return [reason] if reason else []
 
     def labels(self):
@@ -147,7 +150,7 @@
 
     def apply_configuration(self):
         """Take a new configuration: limits, and a cold start after coming back."""
-        is_refusing = bool(self.reason_to_refuse())
+        is_refusing = bool(self.reason_to_reject())
         if self._was_refusing and not is_refusing:
             self.credits.drop_to_cold("admitted-again")
         self._was_refusing = is_refusing
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/doors.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/doors.py
@@ -1,4 +1,4 @@
-"""The HTTP doors of an entry: for callers and for peer entries."""
+"""The HTTP listeners of an entry: for callers and for peer entries."""
 
 import asyncio
 import contextlib
@@ -6,10 +6,10 @@
 
 from magnoliagrade.errors import ErrorKind, MagnoliagradeError
 from magnoliagrade.http import (
-    AnswerSink,
+    ResponseSink,
     check_incarnation,
     error_response,
-    log_refusal,
+    log_rejection,
     read_request_headers,
 )
 from magnoliagrade.http import headers as names
@@ -19,7 +19,7 @@
 
 from magnoliagrade_entry.requests import read_arrival, request_id_of
 
-__all__ = ["make_caller_door", "make_peer_door"]
+__all__ = ["make_caller_handler", "make_peer_handler"]
 
 REQUESTS = Counter(
     "magnoliagrade_requests_total",
@@ -41,7 +41,7 @@
 _log = logging.getLogger(__name__)
 
 
-def make_caller_door(node):
+def make_caller_handler(node):
     """Return the handler of the listener that callers connect to.
 
     Parameters
@@ -78,7 +78,7 @@
     return _counted(node, handle, "caller")
 
 
-def make_peer_door(node):
+def make_peer_handler(node):
     """Return the handler of the listener that peer entries forward requests to.
 
     Parameters
@@ -90,7 +90,7 @@
     async def handle(http_request):
         request_id = ""
         headers = http_request.headers
-        sink = AnswerSink(
+        sink = ResponseSink(
             http_request=http_request,
             added_headers={
                 names.RAN: "yes",
@@ -121,7 +121,7 @@
     return _counted(node, handle, "peer")
 
 
-class _TimedSink(AnswerSink):
+class _TimedSink(ResponseSink):
     """Sink that measures the time to the first byte of the body."""
 
     __slots__ = ("_arrived_at", "_clock")
@@ -228,7 +228,7 @@
 
 def _answer_error(error, sink, request_id, *, door):
     REQUESTS.labels(door, error.kind.value).inc()
-    log_refusal(_log, error, request_id=request_id, door=door)
+    log_rejection(_log, error, request_id=request_id, door=door)
     if sink.has_started:
         sink.abort()
         return sink.response
--- a/packages/magnoliagrade/magnoliagrade/node/node.py
+++ b/packages/magnoliagrade/magnoliagrade/node/node.py
@@ -6,12 +6,12 @@
 import aiohttp
 
 from magnoliagrade.clock import SystemClock
-from magnoliagrade.http import DoorLimits, start_door
+from magnoliagrade.http import ListenerLimits, start_listener
 from magnoliagrade.identity import InstanceIdentity, new_incarnation
 from magnoliagrade.node.admin import make_admin_app
-from magnoliagrade.node.configuration_spread import ConfigurationSpread
+from magnoliagrade.node.configuration_spread import ConfigurationPropagation
 from magnoliagrade.node.configuration_state import ConfigurationState
-from magnoliagrade.node.links import LinkBook, run_link
+from magnoliagrade.node.links import LinkTable, run_link
 from magnoliagrade.node.metrics import expose_process_metrics
 from magnoliagrade.node.process import announce_ready, bound_address, start_site
 from magnoliagrade.node.tasks import Tasks
@@ -59,10 +59,10 @@
         "identity",
         "is_leaving",
         "links",
+        "propagation",
         "rng",
         "session",
         "settings",
-        "spread",
         "store",
         "tasks",
     )
@@ -82,8 +82,8 @@
         self.configuration = ConfigurationState(
             clock=self.clock, skipped_kinds=self.unused_kinds
         )
-        self.spread = ConfigurationSpread(node=self)
-        self.links = LinkBook(clock=self.clock, own_name=settings.name)
+        self.propagation = ConfigurationPropagation(node=self)
+        self.links = LinkTable(clock=self.clock, own_name=settings.name)
         self.counters = LinkCounters()
         self.tasks = Tasks()
         self.is_leaving = False
@@ -136,10 +136,10 @@
         self._runners.append(runner)
         self.addresses[name] = bound
 
-    async def listen_door(
+    async def listen_for_requests(
         self, name, handle, address, *, limits=None, is_internal=False
     ):
-        """Serve a door and note its bound address under a name.
+        """Serve a listener and note its bound address under a name.
 
         Parameters
         ----------
@@ -149,15 +149,15 @@
             Takes an HTTP request and returns a response.
         address : str
             `host:port` to listen on.
-        limits : DoorLimits, optional
+        limits : ListenerLimits, optional
             What a connection may ask; wide ones by default.
         is_internal : bool
             Whether own processes are on the other side.
         """
-        runner, bound = await start_door(
+        runner, bound = await start_listener(
             handle,
             address,
-            limits=limits or DoorLimits(),
+            limits=limits or ListenerLimits(),
             is_internal=is_internal,
         )
         self._runners.append(runner)
@@ -187,8 +187,8 @@
             self.tasks.start(function(self), name=name)
         announce_ready(**self.addresses)
 
-    async def say_leaving(self):
-        """Tell every linked instance that this one takes no new work."""
+    async def announce_leaving(self):
+        """Announce to every linked instance that this one takes no new work."""
         self.is_leaving = True
         self.links.broadcast(Leaving(reason="shutdown"))
         await asyncio.sleep(0)
@@ -254,7 +254,7 @@
 
     def on_peer_ahead(self, link):
         """Ask the other side of a link for its newer configuration."""
-        self.spread.on_message(link)
+        self.propagation.on_message(link)
 
     def on_link_up(self, link):
         """Note that a link has come up."""
