--- a/packages/magnoliagrade-agent/magnoliagrade_agent/direct/member.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/direct/member.py
@@ -10,8 +10,8 @@
 from magnoliagrade.platform import OrderOutcome
 from magnoliagrade.wire import RankReply
 
-from magnoliagrade_agent.direct.count_code import CountSender
-from magnoliagrade_agent.direct.placement_code import pack_experts, unpack_experts
+from magnoliagrade_agent.direct.counter_codec import CountSender
+from magnoliagrade_agent.direct.expert_map_codec import pack_experts, unpack_experts
 
 __all__ = ["CONFIRMED", "FAILED", "REFUSED", "RankMember"]
 
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/direct/ports.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/direct/ports.py
@@ -10,14 +10,14 @@
 from magnoliagrade.wire import RankCall
 from magnoliagrade.world.site import RankStatus
 
-from magnoliagrade_agent.direct.count_code import CountReader, CountsLost
+from magnoliagrade_agent.direct.counter_codec import CountReader, CountsLost
+from magnoliagrade_agent.direct.expert_map_codec import unpack_experts
 from magnoliagrade_agent.direct.member import (
     CONFIRMED,
     FAILED,
     ORDER_TRIES,
     REFUSED,
 )
-from magnoliagrade_agent.direct.placement_code import unpack_experts
 
 __all__ = ["LinkPort", "OwnPort", "RankUnreachable", "ask_briefly"]
 
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/direct/switching.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/direct/switching.py
@@ -25,8 +25,8 @@
 from magnoliagrade.errors import ErrorKind, MagnoliagradeError
 from magnoliagrade.observability import log_event
 
+from magnoliagrade_agent.direct.expert_map_codec import pack_experts
 from magnoliagrade_agent.direct.member import CONFIRMED
-from magnoliagrade_agent.direct.placement_code import pack_experts
 from magnoliagrade_agent.direct.ports import RankUnreachable, ask_briefly
 
 __all__ = [
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/direct/tests/test_count_code.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/direct/tests/test_counter_codec.py
@@ -1,6 +1,10 @@
 import random
 
-from magnoliagrade_agent.direct.count_code import CountReader, CountSender, CountsLost
+from magnoliagrade_agent.direct.counter_codec import (
+    CountReader,
+    CountSender,
+    CountsLost,
+)
 
 # Haldane's grown group: eight sets of 252 experts.
 NUMBERS = 2016
