--- a/packages/magnoliagrade-agent/magnoliagrade_agent/direct/__init__.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/direct/__init__.py
@@ -1,4 +1,4 @@
-"""Agent beside a model server of the operators' platform."""
+"""Agent that runs beside a model server of the operators' platform."""
 
 from magnoliagrade.lazy_exports import lazy_exports
 
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/direct/__main__.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/direct/__main__.py
@@ -6,7 +6,7 @@
 
 
 def main(file):
-    """Import what an agent needs and serve."""
+    """Run an agent with a settings file until the process is told to stop."""
     leave_out_certificates()
     from magnoliagrade.node import serve_node
 
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/direct/coordinator.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/direct/coordinator.py
@@ -1,4 +1,8 @@
-"""The coordinator of a group: counts, plans and switches, from one agent."""
+"""Coordination of a group by one agent: collects counters, plans and switches maps.
+
+The agents of the next ranks take over, or release a pass that the coordinator holds, if
+the coordinator stops.
+"""
 
 import asyncio
 import logging
@@ -7,8 +11,12 @@
 from magnoliagrade.observability import log_event
 from prometheus_client import Counter
 
-from magnoliagrade_agent.direct.ports import OwnPort, RankUnreachable, ask_briefly
-from magnoliagrade_agent.direct.rank_directory import RankDirectory, formation_of
+from magnoliagrade_agent.direct.ports import (
+    LocalRankClient,
+    RankUnreachable,
+    call_with_short_timeout,
+)
+from magnoliagrade_agent.direct.rank_directory import RankDirectory, formation_key
 from magnoliagrade_agent.direct.switching import (
     GroupSwitch,
     is_next_pass_held,
@@ -17,56 +25,70 @@
 
 __all__ = ["Coordinator", "is_coordinator"]
 
-# Plans are made this often; a reading of all counters moves some 10 KB.
-INTERVAL_S = 0.4
-# While shorter passes would serve nobody better: fewer counters cross data centres.
-CALM_INTERVAL_S = 0.7
-# Agents of other ranks look this often whether they have to take over; well within
-# TAKE_OVER_S.
-STANDBY_INTERVAL_S = 1.0
-# The next ranks' agents look this often, and release a pass that the coordinator has
-# held and left. The rank that holds it knows so, and a held pass is released within
-# some 50 ms otherwise; the other sees that the group has stood still for long.
-# Callers of streams leave after two seconds without an event (platform pages).
-RESCUERS = 2
-RESCUE_INTERVAL_S = 0.25
-RESCUE_HELD_INTERVAL_S = 0.1
-RESCUE_HELD_AFTER_S = 0.25
-RESCUE_STANDING_AFTER_S = 1.0
-# The same as a multiple of the length of passes, which a slow rank makes long.
-RESCUE_STANDING_PASSES = 4
-# An agent that is about to rescue finds the ranks beforehand, tried this often.
-FIND_INTERVAL_S = 2.0
-# An agent takes over once no agent of a lower rank has called for this long, and
-# longer for each rank above.
-TAKE_OVER_S = 2.5
-TAKE_OVER_RANK_S = 2.0
-# Ranks that may coordinate: two machines and one data centre may be lost at once.
-CANDIDATES = 4
-# Longer than the passes ahead of a switch take in a busy group; then it is looked into.
-SWITCH_WAIT_S = 3.0
+# Interval of plans; the counters of all ranks take about 10 KB each time.
+PLAN_INTERVAL_S = 0.4
+# Longer interval while shorter passes would serve no caller better, so that fewer
+# counters cross data centres.
+LOW_LOAD_PLAN_INTERVAL_S = 0.7
+# Interval at which the agents of other ranks check whether they have to take over; well
+# below the silence of 2.5 s after which they do.
+STANDBY_CHECK_INTERVAL_S = 1.0
+# Number of ranks after rank 0 whose agents release a pass that the coordinator has held
+# and not released. Callers of streams leave after two seconds without an event.
+RECOVERY_CANDIDATES = 2
+# Interval at which the agents that may recover a group check whether it has stalled.
+RECOVERY_CHECK_INTERVAL_S = 0.25
+# Interval of the check for a stalled group by the agent whose rank holds a pass.
+HELD_PASS_CHECK_INTERVAL_S = 0.1
+# Stall after which the agent whose rank holds the next pass recovers the group. Its
+# rank's status shows the hold, and a running coordinator releases a held pass within
+# about 50 ms.
+HELD_PASS_TIMEOUT_S = 0.25
+# Stall after which the agent of rank 1 recovers the group if its rank does not hold the
+# next pass, so that only the lack of progress shows; the agent of rank 2 waits twice as
+# long.
+STALL_TIMEOUT_PER_RANK_S = 1.0
+# Shortest stall, in passes of recent length, after which an agent recovers the group if
+# its rank does not hold the next pass. Passes are long while a rank is slow.
+STALL_TIMEOUT_PASSES = 4
+# Interval at which a recovery candidate tries to find the ranks before it needs them.
+DISCOVERY_INTERVAL_S = 2.0
+# Part of the time without calls of other agents after which an agent takes over as
+# coordinator; the same for all ranks.
+TAKEOVER_SILENCE_S = 2.5
+# Additional time without calls for each rank below the agent's own.
+TAKEOVER_SILENCE_PER_RANK_S = 2.0
+# Number of ranks whose agents may coordinate: two machines and one data centre may fail
+# at once.
+COORDINATOR_CANDIDATES = 4
+# Longest wait for the pass of a switch, after which the map in use is read again.
+# Longer than the passes until a switch take in a busy group.
+SWITCH_TIMEOUT_S = 3.0
 
 SWITCHES = Counter("magnoliagrade_group_switches_total", "Map switches", ["result"])
 _log = logging.getLogger(__name__)
 
 
-def is_coordinator(rank, *, silent_s):
-    """Return whether the agent of a rank coordinates its group.
+def is_coordinator(rank, *, seconds_since_call):
+    """Return whether the agent of a rank has to coordinate its group.
 
     Parameters
     ----------
     rank : int
         Rank.
-    silent_s : float
-        Seconds since an agent of a lower rank has called.
+    seconds_since_call : float
+        Seconds since the last call of another agent.
     """
     if rank == 0:
         return True
-    return rank < CANDIDATES and silent_s > TAKE_OVER_S + TAKE_OVER_RANK_S * rank
+    return (
+        rank < COORDINATOR_CANDIDATES
+        and seconds_since_call > TAKEOVER_SILENCE_S + TAKEOVER_SILENCE_PER_RANK_S * rank
+    )
 
 
 class Coordinator:
-    """Plans and switches of the group of this agent's rank.
+    """Coordinates the group of this agent's rank, or stands by to take over.
 
     Parameters
     ----------
@@ -75,36 +97,36 @@
     """
 
     __slots__ = (
+        "_clients",
         "_directory",
-        "_due_until",
-        "_due_version",
-        "_failure",
-        "_find_at",
         "_formation",
-        "_is_calm",
+        "_is_load_low",
+        "_last_failure",
+        "_last_pass_sample",
+        "_local_client",
+        "_next_discovery_at",
         "_node",
-        "_own",
-        "_pass_mark",
+        "_pending_version",
         "_placement",
         "_placement_version",
-        "_ports",
-        "_recent_pass_s",
-        "_slow_ranks",
         "_progress",
         "_progress_at",
+        "_recent_pass_s",
+        "_slow_ranks",
         "_switch",
+        "_switch_deadline",
         "_window",
     )
 
     def __init__(self, *, node):
         self._node = node
-        self._own = OwnPort(member=node.member)
-        self._directory = RankDirectory(node=node, own=self._own)
+        self._local_client = LocalRankClient(member=node.member)
+        self._directory = RankDirectory(node=node, local_client=self._local_client)
         self._formation = None
-        self._failure = ""
-        self._is_calm = False
-        self._find_at = 0.0
-        self._due_until = 0.0
+        self._last_failure = ""
+        self._is_load_low = False
+        self._next_discovery_at = 0.0
+        self._switch_deadline = 0.0
         self._slow_ranks = node.slow_ranks
         self._progress = None
         self._progress_at = 0.0
@@ -113,52 +135,59 @@
         self._reset()
 
     async def run(self):
-        """Coordinate whenever it is this agent's turn, until cancelled."""
+        """Coordinate, recover or stand by, by the rank's status, until cancelled."""
         while True:
             try:
-                status = await self._own.status()
+                status = await self._local_client.status()
                 pause_s = _pause_s(status)
-                if self._is_turn(status):
-                    await self._step(status)
-                    pause_s = CALM_INTERVAL_S if self._is_calm else INTERVAL_S
-                elif self._is_left_standing(status):
-                    await self._rescue(status)
-                elif self._is_rescuer(status):
-                    await self._find_early(status)
-                self._note_failure("")
+                if self._is_coordinating(status):
+                    await self._coordinate_once(status)
+                    pause_s = (
+                        LOW_LOAD_PLAN_INTERVAL_S
+                        if self._is_load_low
+                        else PLAN_INTERVAL_S
+                    )
+                elif self._is_stalled(status):
+                    await self._recover_group(status)
+                elif self._is_recovery_candidate(status):
+                    await self._discover_ranks_ahead(status)
+                self._log_new_failure("")
             except MagnoliagradeError as exc:
-                self._note_failure(exc.detail)
-                pause_s = INTERVAL_S
+                self._log_new_failure(exc.detail)
+                pause_s = PLAN_INTERVAL_S
             except (KeyError, TypeError, ValueError) as exc:
-                # What a server says may be of another shape than expected.
-                self._note_failure(f"{type(exc).__name__}: {exc}")
-                pause_s = INTERVAL_S
+                # A response of a server may be malformed.
+                self._log_new_failure(f"{type(exc).__name__}: {exc}")
+                pause_s = PLAN_INTERVAL_S
             await self._node.clock.sleep(pause_s)
 
-    def _note_failure(self, detail):
-        if detail and detail != self._failure:
+    def _log_new_failure(self, detail):
+        if detail and detail != self._last_failure:
             log_event(_log, "group.step.failed", detail=detail)
-        self._failure = detail
+        self._last_failure = detail
+
+    def _is_recovery_candidate(self, status):
+        return status.is_open and 0 < status.rank <= RECOVERY_CANDIDATES
 
-    def _is_rescuer(self, status):
-        return status.is_open and 0 < status.rank <= RESCUERS
+    def _is_stalled(self, status):
+        """Return whether the group has work and has begun no pass for too long.
 
-    def _is_left_standing(self, status):
-        """Return whether the group has work but begins no pass for too long."""
+        Only a recovery candidate finds a group stalled.
+        """
         now = self._node.clock.monotonic()
         progress = (status.epoch, status.step)
         if progress != self._progress or not status.running or not status.is_open:
-            self._note_progress(progress, now)
+            self._record_progress(progress, now)
             return False
-        if not self._is_rescuer(status):
+        if not self._is_recovery_candidate(status):
             return False
-        stands_s = now - self._progress_at
+        stalled_s = now - self._progress_at
         if is_next_pass_held(status):
-            return stands_s > RESCUE_HELD_AFTER_S
-        usual_s = RESCUE_STANDING_PASSES * self._recent_pass_s
-        return stands_s > max(RESCUE_STANDING_AFTER_S * status.rank, usual_s)
+            return stalled_s > HELD_PASS_TIMEOUT_S
+        min_stall_s = STALL_TIMEOUT_PASSES * self._recent_pass_s
+        return stalled_s > max(STALL_TIMEOUT_PER_RANK_S * status.rank, min_stall_s)
 
-    def _note_progress(self, progress, now):
+    def _record_progress(self, progress, now):
         if self._progress and self._progress[0] == progress[0]:
             passes = progress[1] - self._progress[1]
             if passes > 0:
@@ -166,48 +195,52 @@
         self._progress = progress
         self._progress_at = now
 
-    async def _find_early(self, status):
-        """Find the ranks before a rescue needs them."""
+    async def _discover_ranks_ahead(self, status):
+        """Find the ranks of a new formation in advance, so that a recovery is quick."""
         now = self._node.clock.monotonic()
-        if self._formation == formation_of(status) or now < self._find_at:
+        if self._formation == formation_key(status) or now < self._next_discovery_at:
             return
-        self._find_at = now + FIND_INTERVAL_S
-        await self._take_formation(status)
-
-    async def _rescue(self, status):
-        """Release a pass that another agent has held and left."""
-        await self._take_formation(status, may_miss=self._node.last_caller)
-        caller = self._node.last_caller
-        coordinator = next((p for p in self._ports if p.name == caller), None)
+        self._next_discovery_at = now + DISCOVERY_INTERVAL_S
+        await self._adopt_formation(status)
+
+    async def _recover_group(self, status):
+        """Release a pass that another agent has held and not released."""
+        await self._adopt_formation(status, suspect_address=self._node.last_coordinator)
+        address = self._node.last_coordinator
+        coordinator = next((c for c in self._clients if c.name == address), None)
         log_event(
             _log,
             "group.rescue",
             epoch=status.epoch,
             step=status.step,
-            coordinator=caller,
+            coordinator=address,
+        )
+        experts = await self._experts_of_version(
+            status.map_version, suspect=coordinator
         )
-        experts = await self._experts_at(status.map_version, missing=coordinator)
         await self._switch.settle(experts, coordinator=coordinator)
 
-    def _is_turn(self, status):
+    def _is_coordinating(self, status):
         if not status.group or not status.is_open:
             return False
-        return is_coordinator(status.rank, silent_s=self._node.silent_s())
+        return is_coordinator(
+            status.rank, seconds_since_call=self._node.seconds_since_call()
+        )
 
-    async def _step(self, status):
-        await self._take_formation(status)
+    async def _coordinate_once(self, status):
+        await self._adopt_formation(status)
         states = await asyncio.gather(
-            *(port.counts(status.epoch) for port in self._ports)
+            *(client.counts(status.epoch) for client in self._clients)
         )
         statuses = [state for state, _ in states]
-        self._slow_ranks.note(
+        self._slow_ranks.update_paces(
             status.group,
             {
-                self._address_of(port): state.pace
-                for port, state in zip(self._ports, statuses, strict=True)
+                self._address_of(client): state.pace
+                for client, state in zip(self._clients, statuses, strict=True)
             },
         )
-        if self._awaits_switch(statuses):
+        if self._is_switch_pending(statuses):
             return
         if any(is_unsettled(status) for status in statuses):
             experts = await self._experts_in_use(statuses)
@@ -216,33 +249,39 @@
             return
         await self._balance(statuses, [counts for _, counts in states])
 
-    def _address_of(self, port):
-        return self._node.settings.server_address if port is self._own else port.name
+    def _address_of(self, client):
+        return (
+            self._node.settings.server_address
+            if client is self._local_client
+            else client.name
+        )
 
-    async def _take_formation(self, status, *, may_miss=""):
-        """Find the ranks anew if the group has formed anew."""
-        if formation_of(status) == self._formation and self._switch:
+    async def _adopt_formation(self, status, *, suspect_address=""):
+        """Find the ranks again and reset the state if the group has a new formation."""
+        if formation_key(status) == self._formation and self._switch:
             return
         self._reset()
-        self._formation = formation_of(status)
-        self._ports = await self._directory.find(status, may_miss=may_miss)
+        self._formation = formation_key(status)
+        self._clients = await self._directory.find(
+            status, suspect_address=suspect_address
+        )
         self._switch = GroupSwitch(
-            ports=self._ports,
-            own=self._own,
+            clients=self._clients,
+            local_client=self._local_client,
             epoch=status.epoch,
             clock=self._node.clock,
             rng=self._node.rng,
         )
 
     async def _balance(self, statuses, counts):
-        # Only the coordinator needs arrays, and its agent's memory.
+        # Imported late: numpy takes memory, and only the coordinator's agent needs it.
         from magnoliagrade_agent.direct import planning
 
         engine = await self._node.engine()
         if engine is None or not engine.experts:
             return
         now = self._node.clock.monotonic()
-        pass_s = self._pass_length_s(statuses[0].step, now)
+        pass_s = self._mean_pass_s(statuses[0].step, now)
         if self._window is None:
             self._window = planning.CountWindow(
                 sets=engine.sets, experts=engine.experts
@@ -250,63 +289,64 @@
         self._window.add(dict(enumerate(counts)), now=now)
         version = statuses[0].map_version
         if version != self._placement_version:
-            self._placement = _as_holds(
+            self._placement = _placement_array(
                 await self._experts_in_use(statuses), engine.experts
             )
             self._placement_version = version
-        if not self._window.has_enough:
+        if not self._window.has_enough_choices:
             return
-        pressure = planning.pressure(
+        urgency = planning.rebalance_urgency(
             statuses,
             slots=engine.slots,
             pass_s=pass_s,
             gap_objective_s=self._node.gap_objective_s,
         )
-        self._is_calm = not pressure
-        if self._is_calm:
+        self._is_load_low = not urgency
+        if self._is_load_low:
             return
         choices = self._window.choices
-        speeds = planning.speeds_of(statuses)
+        speeds = planning.rank_speeds(statuses)
         planned = planning.plan_placement(
             self._placement,
             choices,
             speeds,
             places=engine.places,
             spare=engine.spare,
-            least_gain=planning.least_gain(pressure) / engine.expert_share,
+            min_gain_per_copy=planning.required_gain_per_copy(urgency)
+            / engine.expert_share,
         )
-        saving = planning.saving(
+        saving = planning.pass_time_saving(
             self._placement,
             planned,
             choices,
             speeds,
             expert_share=engine.expert_share,
         )
-        if saving < planning.LEAST_SAVING:
+        if saving < planning.MIN_SAVING_FRACTION:
             return
         log_event(
             _log,
             "group.planned",
             map_version=version,
-            pressure=round(pressure, 2),
+            pressure=round(urgency, 2),
             pass_s=round(pass_s, 3),
             saving=round(saving, 3),
             copies=int((planned & ~self._placement).sum()),
-            skew=round(planning.skew_of(self._placement, choices), 2),
+            skew=round(planning.load_skew(self._placement, choices), 2),
             slowest_pace=max(status.pace for status in statuses),
         )
         await self._switch_to(planned, pass_s)
 
-    def _pass_length_s(self, step, now):
-        """Return the mean length of the passes since the last look; 0 without any."""
-        last_step, last_at = self._pass_mark or (step, now)
-        self._pass_mark = (step, now)
+    def _mean_pass_s(self, step, now):
+        """Return the mean length of the passes since the last call; 0 for no pass."""
+        last_step, last_at = self._last_pass_sample or (step, now)
+        self._last_pass_sample = (step, now)
         return (now - last_at) / (step - last_step) if step > last_step else 0.0
 
     async def _switch_to(self, planned, pass_s):
         try:
             version = await self._switch.run(
-                _as_experts(planned), _as_experts(self._placement), pass_s=pass_s
+                _expert_lists(planned), _expert_lists(self._placement), pass_s=pass_s
             )
         except MagnoliagradeError:
             SWITCHES.labels("failed").inc()
@@ -315,90 +355,94 @@
         SWITCHES.labels("done").inc()
         self._placement = planned
         self._placement_version = version
-        self._due_version = version
-        self._due_until = self._node.clock.monotonic() + SWITCH_WAIT_S
+        self._pending_version = version
+        self._switch_deadline = self._node.clock.monotonic() + SWITCH_TIMEOUT_S
 
-    def _awaits_switch(self, statuses):
+    def _is_switch_pending(self, statuses):
         """Return whether the group has yet to reach the pass of the last switch.
 
-        Ranks report the former map until then. The loop goes on meanwhile: a rank that
-        turns slow right after a switch makes the way to its pass seconds long.
+        Ranks report the former map until that pass. The coordinator does not block on
+        it, since a rank that becomes slow right after the switch was armed makes the
+        remaining passes take seconds.
         """
-        if self._due_version is None:
+        if self._pending_version is None:
             return False
-        if all(status.map_version == self._due_version for status in statuses):
-            self._due_version = None
+        if all(status.map_version == self._pending_version for status in statuses):
+            self._pending_version = None
             return False
-        if self._node.clock.monotonic() < self._due_until:
+        if self._node.clock.monotonic() < self._switch_deadline:
             return True
-        self._due_version = None
+        self._pending_version = None
         self._placement_version = None
         return False
 
     async def _experts_in_use(self, statuses):
         version = statuses[0].map_version
         if any(status.map_version != version for status in statuses):
-            raise RankUnreachable("a switch is under way")
-        return await self._experts_at(version)
+            raise RankUnreachable("ranks report different map versions during a switch")
+        return await self._experts_of_version(version)
+
+    async def _experts_of_version(self, version, *, suspect=None):
+        """Return the map of a version as experts by set and rank.
 
-    async def _experts_at(self, version, *, missing=None):
-        """Return the map in use; a missing rank gets what no other rank holds."""
+        A suspect rank that does not respond gets the experts that no other rank has.
+        """
         found = await asyncio.gather(
             *(
-                ask_briefly(port.experts(version))
-                if port is missing
-                else port.experts(version)
-                for port in self._ports
+                call_with_short_timeout(client.experts(version))
+                if client is suspect
+                else client.experts(version)
+                for client in self._clients
             ),
             return_exceptions=True,
         )
         by_rank = []
-        for port, experts in zip(self._ports, found, strict=True):
-            is_missing = isinstance(experts, MagnoliagradeError) and port is missing
+        for client, experts in zip(self._clients, found, strict=True):
+            is_missing = isinstance(experts, MagnoliagradeError) and client is suspect
             if isinstance(experts, BaseException) and not is_missing:
                 raise experts
             by_rank.append(None if is_missing else experts)
         if None in by_rank:
             engine = await self._node.engine()
-            by_rank[by_rank.index(None)] = _left_over(by_rank, engine.experts)
+            by_rank[by_rank.index(None)] = _unassigned_experts(by_rank, engine.experts)
         return [list(ranks) for ranks in zip(*by_rank, strict=True)]
 
     def _reset(self):
-        self._pass_mark = None
-        self._ports = []
+        self._last_pass_sample = None
+        self._clients = []
         self._switch = None
         self._placement = None
-        self._due_version = None
+        self._pending_version = None
         if self._window is not None:
-            self._window.start_anew()
+            self._window.reset_baselines()
         self._placement_version = None
 
 
 def _pause_s(status):
     if status.rank == 0:
-        return INTERVAL_S
-    if status.group and status.rank <= RESCUERS:
+        return PLAN_INTERVAL_S
+    if status.group and status.rank <= RECOVERY_CANDIDATES:
         is_held = status.held_step is not None
-        return RESCUE_HELD_INTERVAL_S if is_held else RESCUE_INTERVAL_S
-    return STANDBY_INTERVAL_S
+        return HELD_PASS_CHECK_INTERVAL_S if is_held else RECOVERY_CHECK_INTERVAL_S
+    return STANDBY_CHECK_INTERVAL_S
 
 
-def _left_over(by_rank, size):
+def _unassigned_experts(by_rank, size):
     known = [experts for experts in by_rank if experts is not None]
     return [
         sorted(set(range(size)).difference(*held)) for held in zip(*known, strict=True)
     ]
 
 
-def _as_experts(holds):
-    return [[row.nonzero()[0].tolist() for row in ranks] for ranks in holds]
+def _expert_lists(placement):
+    return [[row.nonzero()[0].tolist() for row in ranks] for ranks in placement]
 
 
-def _as_holds(experts, size):
+def _placement_array(experts, size):
     import numpy as np
 
-    holds = np.zeros((len(experts), len(experts[0]), size), dtype=bool)
+    placement = np.zeros((len(experts), len(experts[0]), size), dtype=bool)
     for index, ranks in enumerate(experts):
         for rank, held in enumerate(ranks):
-            holds[index, rank, held] = True
-    return holds
+            placement[index, rank, held] = True
+    return placement
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/direct/counter_codec.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/direct/counter_codec.py
@@ -1,112 +1,116 @@
-"""Counters of chosen experts as they travel from agents to the coordinator.
+"""Delta encoding of the expert counters that agents send to the coordinator.
 
-Load pattern: a group of 63 ranks counts 2,016 choices each, a megabyte in whole numbers
-for one reading, and the coordinator's machine takes 4 Mbit/s. What was added since the
-last reading is mostly small or nothing, and takes a tenth of that.
+Load pattern: each of 63 ranks has 2,016 counters. One snapshot of all ranks takes a
+megabyte if the counters are sent in full, and the coordinator's machine receives
+4 Mbit/s. The increments since the previous snapshot are mostly small or zero, and take
+a tenth of that.
 """
 
 import array
 import zlib
 from dataclasses import dataclass
 
-__all__ = ["CountReader", "CountSender", "CountsLost"]
+__all__ = ["CounterDecoder", "CounterEncoder", "DeltaBaseUnknown"]
 
-# The fastest: counters are packed for each reading, on a share of a core.
+# The fastest level: each snapshot is compressed, and an agent has a share of a core.
 ZLIB_LEVEL = 1
-# Numbers of readings travel in 32 bits.
-TOKEN_RANGE = 2**32
+# Snapshot ids are sent in a field of 32 bits.
+SNAPSHOT_ID_RANGE = 2**32
 
 
-class CountsLost(Exception):
-    """A reply adds to a reading that its reader does not have."""
+class DeltaBaseUnknown(Exception):
+    """A delta refers to a base snapshot that the decoder does not have."""
 
 
 @dataclass(slots=True, kw_only=True)
 class _Header:
-    """Number of a reading, and of the one that it adds to; 0 for whole counters."""
+    """Ids of a snapshot and of the base of its delta; base 0 means full counters."""
 
-    token: int
-    since: int
+    snapshot_id: int
+    base_id: int
 
 
-class CountSender:
-    """The agent's side: what it has counted since the last reading that it sent.
+class CounterEncoder:
+    """Encodes the counters of one rank for the coordinator; used by the agent.
 
     Examples
     --------
-    >>> sender, reader = CountSender(first_token=7), CountReader()
-    >>> reader.read(sender.pack([3, 0], since=reader.token)).tolist()
+    >>> encoder, decoder = CounterEncoder(first_snapshot_id=7), CounterDecoder()
+    >>> decoder.decode(encoder.encode([3, 0], base_id=decoder.snapshot_id)).tolist()
     [3, 0]
-    >>> reader.read(sender.pack([5, 1], since=reader.token)).tolist()
+    >>> decoder.decode(encoder.encode([5, 1], base_id=decoder.snapshot_id)).tolist()
     [5, 1]
     """
 
-    __slots__ = ("_counters", "_token")
+    __slots__ = ("_counters", "_snapshot_id")
 
-    def __init__(self, *, first_token):
+    def __init__(self, *, first_snapshot_id):
         self._counters = None
-        self._token = first_token % TOKEN_RANGE
+        self._snapshot_id = first_snapshot_id % SNAPSHOT_ID_RANGE
 
-    def pack(self, counters, *, since):
-        """Return a reading as bytes.
+    def encode(self, counters, *, base_id):
+        """Return a snapshot as bytes: a delta if the coordinator has the previous one.
 
         Parameters
         ----------
         counters : list of int
-            Counters, set after set.
-        since : int
-            Number of the reading that the coordinator has; 0 for none.
+            Counters of all experts, in the order of sets.
+        base_id : int
+            Id of the snapshot that the coordinator has; 0 for none.
         """
         last = self._counters
-        is_added = (
-            since == self._token
+        is_delta = (
+            base_id == self._snapshot_id
             and last is not None
             and len(last) == len(counters)
             and all(new >= old for new, old in zip(counters, last, strict=True))
         )
-        if is_added:
-            numbers = [new - old for new, old in zip(counters, last, strict=True)]
+        if is_delta:
+            values = [new - old for new, old in zip(counters, last, strict=True)]
         else:
-            numbers = counters
+            values = counters
         self._counters = list(counters)
-        self._token = self._token % (TOKEN_RANGE - 1) + 1
-        header = array.array("Q", [self._token, since if is_added else 0])
-        body = zlib.compress(array.array("Q", numbers).tobytes(), ZLIB_LEVEL)
+        self._snapshot_id = self._snapshot_id % (SNAPSHOT_ID_RANGE - 1) + 1
+        header = array.array("Q", [self._snapshot_id, base_id if is_delta else 0])
+        body = zlib.compress(array.array("Q", values).tobytes(), ZLIB_LEVEL)
         return header.tobytes() + body
 
 
-class CountReader:
-    """The coordinator's side: the counters of one rank.
+class CounterDecoder:
+    """Decodes the snapshots of one rank's counters; used by the coordinator.
 
     Notes
     -----
-    `token` is the number of the last reading, 0 before the first.
+    `snapshot_id` is the id of the last snapshot that was decoded, 0 before the first.
     """
 
-    __slots__ = ("_counters", "token")
+    __slots__ = ("_counters", "snapshot_id")
 
     def __init__(self):
         self._counters = None
-        self.token = 0
+        self.snapshot_id = 0
 
-    def read(self, data):
-        """Return the counters that a reading gives, as an array.
+    def decode(self, data):
+        """Return the counters of a snapshot as an array.
 
         Raises
         ------
-        CountsLost
-            If it adds to another reading than the last one; the next one is whole.
+        DeltaBaseUnknown
+            If the base is not the last decoded snapshot. `snapshot_id` is then 0, so
+            that the next snapshot is a full one.
         """
         import numpy as np
 
         head = array.array("Q", data[:16])
-        header = _Header(token=head[0], since=head[1])
-        numbers = np.frombuffer(zlib.decompress(data[16:]), dtype="<u8").astype("<i8")
-        if header.since:
-            if header.since != self.token or self._counters is None:
-                self.token = 0
-                raise CountsLost(f"reading {header.token} adds to {header.since}")
-            numbers = self._counters + numbers
-        self.token = header.token
-        self._counters = numbers
-        return numbers
+        header = _Header(snapshot_id=head[0], base_id=head[1])
+        values = np.frombuffer(zlib.decompress(data[16:]), dtype="<u8").astype("<i8")
+        if header.base_id:
+            if header.base_id != self.snapshot_id or self._counters is None:
+                self.snapshot_id = 0
+                raise DeltaBaseUnknown(
+                    f"snapshot {header.snapshot_id} has unknown base {header.base_id}"
+                )
+            values = self._counters + values
+        self.snapshot_id = header.snapshot_id
+        self._counters = values
+        return values
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/direct/expert_map_codec.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/direct/expert_map_codec.py
@@ -1,4 +1,4 @@
-"""Expert maps as bytes on a link and as lists for a server."""
+"""Encoding of expert maps: lists for a model server, bytes on a link."""
 
 import json
 
@@ -6,16 +6,16 @@
 
 
 def pack_experts(experts):
-    """Return an expert map as bytes.
+    """Return an expert map as bytes of JSON.
 
     Parameters
     ----------
     experts : list of list of list of int
-        Experts by set and rank.
+        Experts by set and rank, or by set for the experts of one rank.
     """
     return json.dumps(experts, separators=(",", ":")).encode()
 
 
 def unpack_experts(data):
-    """Return the expert map that bytes hold; None for no bytes."""
+    """Return the expert map encoded in `data`; None if `data` is empty."""
     return json.loads(data) if data else None
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/direct/instance.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/direct/instance.py
@@ -1,4 +1,4 @@
-"""The direct agent: everything that one process beside a model server holds."""
+"""The direct agent: the process that runs beside a model server."""
 
 import asyncio
 import logging
@@ -15,13 +15,14 @@
 
 from magnoliagrade_agent.direct.coordinator import Coordinator
 from magnoliagrade_agent.direct.member import RankMember
-from magnoliagrade_agent.direct.slow_ranks import SlowRankNotice
+from magnoliagrade_agent.direct.slow_ranks import SlowRankPublisher
 
 __all__ = ["DirectAgent"]
 
-# Of calls to the server on the same machine, which answers within some ms.
+# For calls to the server on the same machine, which responds within a few ms.
 SERVER_TIMEOUT_S = 0.25
-# Orders: answered within 4 ms in a played day; a held pass waits for the next try.
+# The server responds to orders within 4 ms. The time-out is short because a held pass
+# waits for the next try.
 ORDER_TIMEOUT_S = 0.08
 
 _log = logging.getLogger(__name__)
@@ -33,14 +34,14 @@
     Parameters
     ----------
     settings : DirectAgentSettings
-        Checked settings.
+        Validated settings.
     clock : Clock, optional
         Source of time; the system's by default.
     """
 
     __slots__ = (
-        "_called_at",
         "_engine",
+        "_last_call_at",
         "_links",
         "_runner",
         "_server",
@@ -48,7 +49,7 @@
         "coordinator",
         "gap_objective_s",
         "identity",
-        "last_caller",
+        "last_coordinator",
         "member",
         "rng",
         "session",
@@ -68,14 +69,14 @@
         )
         self.rng = random.Random(self.identity.incarnation)
         self.tasks = Tasks()
-        self._called_at = self.clock.monotonic()
-        self.last_caller = ""
+        self._last_call_at = self.clock.monotonic()
+        self.last_coordinator = ""
         self._engine = None
         self.gap_objective_s = 0.0
         self._links = set()
 
     async def start(self):
-        """Open every listener and start coordinating."""
+        """Open the listeners for metrics and links and start the coordinator task."""
         settings = self.settings
         source = settings.source_address
         self.session = aiohttp.ClientSession(
@@ -93,7 +94,7 @@
             order_timeout_s=ORDER_TIMEOUT_S,
         )
         self.member = RankMember(server=server, clock=self.clock)
-        self.slow_ranks = SlowRankNotice(store=self.store, clock=self.clock)
+        self.slow_ranks = SlowRankPublisher(store=self.store, clock=self.clock)
         self.coordinator = Coordinator(node=self)
         app = aiohttp.web.Application()
         app.add_routes([aiohttp.web.get("/metrics", serve_metrics_text)])
@@ -104,16 +105,19 @@
             port=int(port),
             make_link=self.make_link,
             hello=self.hello,
-            handle=self._answer_calls,
+            handle=self._serve_calls,
         )
         self.tasks.start(self.coordinator.run(), name="coordinator")
         self.tasks.start(self.slow_ranks.run(), name="slow ranks")
         loop = asyncio.get_running_loop()
-        loop.add_signal_handler(signal.SIGHUP, self._note_reload)
+        loop.add_signal_handler(signal.SIGHUP, self._log_reload)
         log_event(_log, "agent.started", incarnation=self.identity.incarnation)
 
     async def stop(self):
-        """Stop; a switch that is under way is settled by the next coordinator."""
+        """Stop the tasks and close all links.
+
+        The next coordinator settles a switch that is under way.
+        """
         log_event(_log, "agent.stopped")
         self._server.close()
         await self.tasks.stop()
@@ -121,19 +125,19 @@
             link.close()
         await self.session.close()
 
-    def silent_s(self):
-        """Return the seconds since another agent has called."""
-        return self.clock.monotonic() - self._called_at
+    def seconds_since_call(self):
+        """Return the seconds since another agent last called, or since the start."""
+        return self.clock.monotonic() - self._last_call_at
 
     async def engine(self):
-        """Return the `EngineProfile` of the group's service, or None."""
+        """Return the `EngineProfile` of the group's service; None if none is known."""
         if self._engine is None:
             configuration = await fetch_configuration(self.store, purpose="group")
             if configuration is not None:
-                self._take_engine(configuration)
+                self._select_engine(configuration)
         return self._engine
 
-    def _take_engine(self, configuration):
+    def _select_engine(self, configuration):
         for service in configuration.service_by_name.values():
             if service.engine is not None and service.engine.experts:
                 self._engine = service.engine
@@ -148,7 +152,7 @@
                 )
 
     def make_link(self, *, reader, writer, is_dialled=False):
-        """Return a link over a new connection."""
+        """Return a `Link` over a new connection."""
         return Link(
             reader=reader,
             writer=writer,
@@ -158,7 +162,7 @@
         )
 
     def hello(self):
-        """Return the first message of each link."""
+        """Return the `Hello` that is sent first on each link."""
         settings = self.settings
         return Hello(
             role="agent",
@@ -167,23 +171,25 @@
             control_address=settings.link_address,
         )
 
-    def _note_reload(self):
-        # Nothing that an agent reads from its settings changes while it runs.
+    def _log_reload(self):
+        # An agent reads its settings only at the start.
         log_event(_log, "agent.reloaded")
 
-    async def _answer_calls(self, link):
+    async def _serve_calls(self, link):
         self._links.add(link)
         try:
             while True:
                 message = await link.receive()
                 if isinstance(message, RankCall):
-                    self._called_at = self.clock.monotonic()
+                    self._last_call_at = self.clock.monotonic()
                     if message.operation in ("counts", "arm"):
-                        # Those that only look whether to take over ask for neither.
-                        self.last_caller = link.hello.data_address
-                    self.tasks.start(self._answer(link, message), name="rank call")
+                        # Agents that only check whether to take over call neither.
+                        self.last_coordinator = link.hello.data_address
+                    self.tasks.start(
+                        self._reply_to_call(link, message), name="rank call"
+                    )
         finally:
             self._links.discard(link)
 
-    async def _answer(self, link, call):
-        link.send(await self.member.carry_out(call))
+    async def _reply_to_call(self, link, call):
+        link.send(await self.member.execute(call))
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/direct/member.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/direct/member.py
@@ -1,4 +1,4 @@
-"""The agent's part in a switch: orders to its own rank, each read back."""
+"""Execution of a coordinator's calls at one rank; the effect of orders is verified."""
 
 import dataclasses
 import json
@@ -10,7 +10,7 @@
 from magnoliagrade.platform import OrderOutcome
 from magnoliagrade.wire import RankReply
 
-from magnoliagrade_agent.direct.counter_codec import CountSender
+from magnoliagrade_agent.direct.counter_codec import CounterEncoder
 from magnoliagrade_agent.direct.expert_map_codec import pack_experts, unpack_experts
 
 __all__ = ["CONFIRMED", "FAILED", "REFUSED", "RankMember"]
@@ -18,19 +18,20 @@
 CONFIRMED = "confirmed"
 REFUSED = "refused"
 FAILED = "failed"
-# An order without an answer is given again, a share of them being lost on some days:
-# with four in ten lost, one in a thousand remains unconfirmed.
-ORDER_TRIES = 8
-# Copying an expert takes 35 ms (site sheets) and Spare 3 of each of 4 sets may be new.
-PREPARE_WAIT_S = 1.5
-# About the copy of one expert.
-PREPARE_POLL_S = 0.03
+# An order without a response is sent again. With four in ten lost, one order in a
+# thousand remains unconfirmed after eight tries.
+MAX_ORDER_TRIES = 8
+# Longest wait for the copies of a prepared map. Copying an expert takes 35 ms, and 3
+# experts of each of 4 sets may be new at a rank.
+PREPARE_TIMEOUT_S = 1.5
+# Interval of reads of the status during copies; about the time of one copy.
+PREPARE_POLL_INTERVAL_S = 0.03
 
 _log = logging.getLogger(__name__)
 
 
 class RankMember:
-    """Carries out calls at one rank.
+    """Executes the calls of a coordinator at one rank's server.
 
     Parameters
     ----------
@@ -38,23 +39,25 @@
         Client of the rank's server.
     clock : Clock
         Source of time.
-    read_lag_s : float
-        Age of what the server says of itself; 0 from its own machine.
+    status_lag_s : float
+        Age in seconds of the status that the server reports. The effect of an order
+        is read only after this time. 0 on the server's machine.
     """
 
-    __slots__ = ("_clock", "_count_sender", "_read_lag_s", "_server")
+    __slots__ = ("_clock", "_counter_encoder", "_server", "_status_lag_s")
 
-    def __init__(self, *, server, clock, read_lag_s=0.0):
+    def __init__(self, *, server, clock, status_lag_s=0.0):
         self._clock = clock
-        self._read_lag_s = read_lag_s
+        self._status_lag_s = status_lag_s
         self._server = server
-        # An agent that starts again never continues the readings of the one before.
-        self._count_sender = CountSender(first_token=new_incarnation())
+        # Starts at a random id, so that a restarted agent never sends a delta to a
+        # snapshot of its predecessor.
+        self._counter_encoder = CounterEncoder(first_snapshot_id=new_incarnation())
 
-    async def carry_out(self, call):
-        """Return the `RankReply` to a `RankCall`."""
+    async def execute(self, call):
+        """Execute a `RankCall` and return its `RankReply`, also if the call fails."""
         try:
-            outcome, status, counts, tries = await self._carry_out(call)
+            outcome, status, counts, tries = await self._execute(call)
         except MagnoliagradeError as exc:
             log_event(
                 _log, "rank.call.failed", operation=call.operation, detail=exc.detail
@@ -79,24 +82,24 @@
             tries=tries,
         )
 
-    async def _carry_out(self, call):
+    async def _execute(self, call):
         if call.operation == "status":
             return CONFIRMED, await self._server.status(), b"", 1
         if call.operation == "counts":
             epoch, counts = await self._server.counts()
             outcome = CONFIRMED if epoch == call.epoch else REFUSED
             status = await self._server.status()
-            packed = self._count_sender.pack(counts, since=call.version)
+            packed = self._counter_encoder.encode(counts, base_id=call.version)
             return outcome, status, packed, 1
         if call.operation == "experts":
             _, version, experts = await self._server.experts()
             outcome = CONFIRMED if version == call.version else REFUSED
             return outcome, None, pack_experts(experts), 1
-        outcome, status, tries = await self._order(call)
+        outcome, status, tries = await self._execute_order(call)
         return outcome, status, b"", tries
 
-    async def _order(self, call):
-        """Give an order until its effect is seen or it is refused."""
+    async def _execute_order(self, call):
+        """Send an order until the status shows its effect or the server rejects it."""
         fields = {"epoch": call.epoch}
         if call.operation != "release" and call.operation != "hold":
             fields["version"] = call.version
@@ -105,32 +108,32 @@
         if call.operation == "prepare":
             fields["experts"] = unpack_experts(call.placement)
         status = None
-        for tries in range(1, ORDER_TRIES + 1):
-            taken = await self._server.order(call.operation, **fields)
-            status = await self._read_back(call, taken)
+        for tries in range(1, MAX_ORDER_TRIES + 1):
+            outcome = await self._server.order(call.operation, **fields)
+            status = await self._read_status(call, outcome)
             if status is None:
                 continue
             if _is_in_effect(call, status):
                 return CONFIRMED, status, tries
-            if taken is OrderOutcome.REFUSED:
+            if outcome is OrderOutcome.REFUSED:
                 return REFUSED, status, tries
-        return FAILED, status, ORDER_TRIES
+        return FAILED, status, MAX_ORDER_TRIES
 
-    async def _read_back(self, call, taken):
-        ends_at = self._clock.monotonic() + PREPARE_WAIT_S
+    async def _read_status(self, call, outcome):
+        ends_at = self._clock.monotonic() + PREPARE_TIMEOUT_S
         while True:
-            if self._read_lag_s:
-                await self._clock.sleep(self._read_lag_s)
+            if self._status_lag_s:
+                await self._clock.sleep(self._status_lag_s)
             try:
                 status = await self._server.status()
             except MagnoliagradeError:
                 return None
-            is_copying = call.operation == "prepare" and taken is OrderOutcome.BEGUN
+            is_copying = call.operation == "prepare" and outcome is OrderOutcome.BEGUN
             if _is_in_effect(call, status) or not is_copying:
                 return status
             if self._clock.monotonic() > ends_at or status.epoch != call.epoch:
                 return status
-            await self._clock.sleep(PREPARE_POLL_S)
+            await self._clock.sleep(PREPARE_POLL_INTERVAL_S)
 
 
 def _is_in_effect(call, status):
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/direct/planning.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/direct/planning.py
@@ -1,7 +1,7 @@
-"""Deciding when a group gets another expert map, and which.
+"""Decides when a group switches to another expert map, and plans that map.
 
-Load pattern: which experts requests choose shifts every few seconds, and each pass
-lasts as long as the most loaded rank of each set.
+Load pattern: the experts that requests choose shift every few seconds, and each pass
+lasts as long as the most loaded rank of each set takes.
 """
 
 import numpy as np
@@ -16,157 +16,168 @@
 from magnoliagrade_agent.direct.slow_ranks import SLOW_PACE
 
 __all__ = [
+    "MIN_SAVING_FRACTION",
     "CountWindow",
-    "first_placement",
-    "pressure",
-    "saving",
-    "skew_of",
-    "speeds_of",
-    "least_gain",
+    "load_skew",
+    "pass_time_saving",
     "plan_placement",
-    "LEAST_SAVING",
+    "rank_speeds",
+    "rebalance_urgency",
+    "required_gain_per_copy",
+    "round_robin_placement",
 ]
 
-# Counts older than this weigh half: a third of the 3 s between shifts (site files).
-HALF_LIFE_S = 1.0
-# Shorter passes that a switch has to bring: copies make passes 15 % longer for some
-# 0.4 s of the 3 s until the next shift.
-LEAST_SAVING = 0.04
-# Parts of the gaps' objective that a pass takes, from which shorter passes begin to
-# serve callers better, and from which each bit counts: below, events are in time.
-PASS_FROM = 0.6
-PASS_FULL = 0.85
-# The same as parts of the slots in use: close to full, shorter passes are capacity.
-SLOTS_FROM = 0.55
-SLOTS_FULL = 0.85
-# Part of a pass that one copied expert has to save at full pressure: its price (site
-# files) over what callers gain by the same part in the 3 s until the next shift.
-LEAST_GAIN_PER_COPY = 0.0015
-# Bound on the work of a plan; more than all places of a set that may change.
-MAX_MOVES = 64
-# Choices of a window below which nothing is decided; in a played day one rank counted
-# 13,788 of its hottest expert in the first second of traffic.
-MIN_CHOICES = 2000
+# Half-life of the weight of counts: a third of the 3 s between shifts of the load.
+COUNT_HALF_LIFE_S = 1.0
+# Fraction of the pass length that a switch has to save: copies make passes 15 % longer
+# for about 0.4 s of the 3 s until the next shift of the load.
+MIN_SAVING_FRACTION = 0.04
+# Pass length, as a fraction of the objective for gaps between events, above which
+# shorter passes serve callers better. Below it events are in time.
+URGENT_FROM_GAP_FRACTION = 0.6
+# Pass length, as a fraction of the objective for gaps between events, from which the
+# urgency of a new map is 1: each reduction of the pass length counts.
+FULLY_URGENT_GAP_FRACTION = 0.85
+# Fraction of the slots in use above which shorter passes serve callers better. Close to
+# full, shorter passes add capacity.
+URGENT_FROM_SLOT_FRACTION = 0.55
+# Fraction of the slots in use from which the urgency of a new map is 1.
+FULLY_URGENT_SLOT_FRACTION = 0.85
+# Fraction of a pass that one copied expert has to save at urgency 1: the price of a
+# copy, divided by what callers gain per saved fraction in the 3 s until the next shift
+# of the load.
+MIN_GAIN_PER_COPY_FRACTION = 0.0015
+# Bounds the work of a plan; larger than the number of places of a set that may change.
+MAX_MOVES_PER_SET = 64
+# Choices in a window below which no map is planned. A rank counts 13,788 choices of its
+# hottest expert in the first second of traffic.
+MIN_WINDOW_CHOICES = 2000
 
 
 class CountWindow:
-    """Recent choices of experts, from counters that only rise.
+    """Recent choices of each expert, with exponential decay, from monotonic counters.
 
     Parameters
     ----------
     sets, experts : int
-        Sets of layers and experts of each.
+        Number of sets of layers, and of experts of each set.
     """
 
-    __slots__ = ("_at", "_last_by_rank", "_shape", "choices")
+    __slots__ = ("_last_counters_by_rank", "_shape", "_updated_at", "choices")
 
     def __init__(self, *, sets, experts):
         self._shape = (sets, experts)
-        self._last_by_rank = {}
-        self._at = None
+        self._last_counters_by_rank = {}
+        self._updated_at = None
         self.choices = np.zeros(self._shape)
 
     def add(self, counts_by_rank, *, now):
-        """Add the counters of all ranks.
+        """Add what the counters of all ranks have gained since the last call.
 
         Parameters
         ----------
         counts_by_rank : dict of int to bytes
-            Counters by rank, 64 bits each, set after set.
+            Counters by rank, as 64-bit integers in the order of sets.
         now : float
             Time in seconds.
         """
-        if self._at is not None:
-            self.choices *= 0.5 ** ((now - self._at) / HALF_LIFE_S)
-        self._at = now
+        if self._updated_at is not None:
+            self.choices *= 0.5 ** ((now - self._updated_at) / COUNT_HALF_LIFE_S)
+        self._updated_at = now
         for rank, data in counts_by_rank.items():
             counts = np.frombuffer(data, dtype="<i8").reshape(self._shape)
-            last = self._last_by_rank.get(rank)
-            self._last_by_rank[rank] = counts
+            last = self._last_counters_by_rank.get(rank)
+            self._last_counters_by_rank[rank] = counts
             if last is not None and (counts >= last).all():
                 self.choices += counts - last
 
-    def start_anew(self):
-        """Go on after a group has formed anew: counters start at 0, ranks may differ.
+    def reset_baselines(self):
+        """Forget the last counters, because the group has a new formation.
 
-        What was chosen lately is kept: requests choose much the same as before, and a
-        new group has the map that helps least.
+        Counters start at 0 in it and ranks may belong to other servers. The recent
+        choices are kept: requests choose much the same experts as before, and a new
+        formation starts with the round-robin map, which balances least.
         """
-        self._last_by_rank = {}
+        self._last_counters_by_rank = {}
 
     @property
-    def has_enough(self):
-        """Whether there are enough choices to decide on."""
-        return self.choices.sum() >= MIN_CHOICES
+    def has_enough_choices(self):
+        """Whether the window has enough choices to plan a map."""
+        return self.choices.sum() >= MIN_WINDOW_CHOICES
 
 
-def first_placement(*, sets, ranks, experts):
-    """Return the placement of a group that has just formed: experts in turn.
+def round_robin_placement(*, sets, ranks, experts):
+    """Return the placement of a group that has just formed: experts round-robin.
 
     Examples
     --------
-    >>> first_placement(sets=1, ranks=2, experts=4)[0].astype(int).tolist()
+    >>> round_robin_placement(sets=1, ranks=2, experts=4)[0].astype(int).tolist()
     [[1, 0, 1, 0], [0, 1, 0, 1]]
     """
-    holds = np.zeros((sets, ranks, experts), dtype=bool)
-    holds[:, np.arange(experts) % ranks, np.arange(experts)] = True
-    return holds
+    placement = np.zeros((sets, ranks, experts), dtype=bool)
+    placement[:, np.arange(experts) % ranks, np.arange(experts)] = True
+    return placement
 
 
-def pressure(statuses, *, slots, pass_s, gap_objective_s):
-    """Return how much shorter passes matter now, from 0 to 1.
+def rebalance_urgency(statuses, *, slots, pass_s, gap_objective_s):
+    """Return how much callers gain from shorter passes now, from 0 to 1.
 
     Parameters
     ----------
     statuses : list of RankStatus
-        All ranks.
+        Status of all ranks.
     slots : int
         Requests that a rank runs at once.
     pass_s : float
-        Recent length of a pass in seconds; 0 if the group begins none.
+        Recent length of a pass in seconds; 0 if the group has begun none.
     gap_objective_s : float
-        Longest pause between events that counts as in time; 0 if there is none.
+        Longest gap between events that counts as in time, in seconds; 0 for no
+        objective.
     """
     if max(status.pace for status in statuses) >= SLOW_PACE:
         return 1.0
     used = sum(s.running + s.waiting for s in statuses) / (slots * len(statuses))
-    by_slots = (used - SLOTS_FROM) / (SLOTS_FULL - SLOTS_FROM)
+    by_slots = (used - URGENT_FROM_SLOT_FRACTION) / (
+        FULLY_URGENT_SLOT_FRACTION - URGENT_FROM_SLOT_FRACTION
+    )
     by_pass = 0.0
     if gap_objective_s:
-        part = pass_s / gap_objective_s
-        by_pass = (part - PASS_FROM) / (PASS_FULL - PASS_FROM)
+        fraction = pass_s / gap_objective_s
+        by_pass = (fraction - URGENT_FROM_GAP_FRACTION) / (
+            FULLY_URGENT_GAP_FRACTION - URGENT_FROM_GAP_FRACTION
+        )
     return min(1.0, max(0.0, by_slots, by_pass))
 
 
-def least_gain(pressure_now):
-    """Return the part of a pass that one copied expert has to save."""
-    return LEAST_GAIN_PER_COPY / pressure_now if pressure_now > 0 else float("inf")
+def required_gain_per_copy(urgency):
+    """Return the fraction of a pass that one copied expert has to save."""
+    return MIN_GAIN_PER_COPY_FRACTION / urgency if urgency > 0 else float("inf")
 
 
-def plan_placement(holds, rates, speeds, *, places, spare, least_gain=0.0):
-    """Return a placement with a shorter step that one switch can reach.
+def plan_placement(placement, rates, speeds, *, places, spare, min_gain_per_copy=0.0):
+    """Return a placement with shorter passes that one switch can reach.
 
     Parameters
     ----------
-    holds : ndarray of bool, shape (sets, ranks, experts)
+    placement : ndarray of bool, shape (sets, ranks, experts)
         Placement in use.
     rates : ndarray of shape (sets, experts)
         Choices of each expert.
     speeds : ndarray of shape (ranks,)
         Speed of each rank.
     places : int
-        Experts of a set that a rank holds at most.
+        Largest number of experts of a set on a rank.
     spare : int
-        Experts of a set that may be new at a rank.
-    least_gain : float
-        Part of a step that one copied expert has to save.
+        Largest number of experts of a set that may be new on a rank.
+    min_gain_per_copy : float
+        Fraction of the experts' part of a pass that one copied expert has to save.
     """
-    planned = holds.copy()
-    floor = least_gain * step_time(rank_times(holds, rates, speeds))
-    for index in range(len(holds)):
-        _improve(
+    planned = placement.copy()
+    floor = min_gain_per_copy * step_time(rank_times(placement, rates, speeds))
+    for index in range(len(placement)):
+        _improve_set(
             planned[index],
-            holds[index],
+            placement[index],
             rates[index],
             speeds=speeds,
             places=places,
@@ -176,37 +187,40 @@
     return planned
 
 
-def speeds_of(statuses):
-    """Return the speed of each rank, from the pace that it reports."""
+def rank_speeds(statuses):
+    """Return the speed of each rank relative to normal, from the pace it reports."""
     return np.array([1.0 / status.pace for status in statuses])
 
 
-def saving(holds, planned, rates, speeds, *, expert_share):
-    """Return the part of a pass that a planned placement saves.
+def pass_time_saving(placement, planned, rates, speeds, *, expert_share):
+    """Return the fraction of a pass that a planned placement saves.
 
     Parameters
     ----------
-    holds, planned : ndarray of bool, shape (sets, ranks, experts)
+    placement, planned : ndarray of bool, shape (sets, ranks, experts)
         Placement in use and planned.
     rates : ndarray of shape (sets, experts)
         Choices of each expert.
     speeds : ndarray of shape (ranks,)
         Speed of each rank.
     expert_share : float
-        Part of a token's work that the experts do.
+        Fraction of a token's work that is done in experts.
     """
-    before = step_time(rank_times(holds, rates, speeds))
+    before = step_time(rank_times(placement, rates, speeds))
     after = step_time(rank_times(planned, rates, speeds))
     return expert_share * (before - after) / before if before > 0 else 0.0
 
 
-def skew_of(holds, rates):
-    """Return the most loaded over the mean rank, set by set."""
-    return skew(rank_times(holds, rates, np.ones(holds.shape[1])))
+def load_skew(placement, rates):
+    """Return the time of the slowest rank over that of the mean rank, summed over sets.
+
+    All ranks are taken as equally fast.
+    """
+    return skew(rank_times(placement, rates, np.ones(placement.shape[1])))
 
 
-def _improve(planned, former, rates, *, speeds, places, spare, floor):
-    for _ in range(MAX_MOVES):
+def _improve_set(planned, former, rates, *, speeds, places, spare, floor):
+    for _ in range(MAX_MOVES_PER_SET):
         added = (planned & ~former).sum(axis=1)
         move = best_move(
             planned, rates, speeds=speeds, slots=places, may_load=added < spare
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/direct/ports.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/direct/ports.py
@@ -1,4 +1,4 @@
-"""How a coordinator reaches the ranks of its group: through their agents."""
+"""Clients for the ranks of a group: local calls, or calls over links to agents."""
 
 import asyncio
 import json
@@ -10,91 +10,103 @@
 from magnoliagrade.wire import RankCall
 from magnoliagrade.world.site import RankStatus
 
-from magnoliagrade_agent.direct.counter_codec import CountReader, CountsLost
+from magnoliagrade_agent.direct.counter_codec import CounterDecoder, DeltaBaseUnknown
 from magnoliagrade_agent.direct.expert_map_codec import unpack_experts
 from magnoliagrade_agent.direct.member import (
     CONFIRMED,
     FAILED,
-    ORDER_TRIES,
+    MAX_ORDER_TRIES,
     REFUSED,
 )
 
-__all__ = ["LinkPort", "OwnPort", "RankUnreachable", "ask_briefly"]
-
-# An agent that does not answer for so long counts as stopped; then the rank's server
-# is asked itself. Copies take up to 1.5 s, orders without an answer are tried again.
-TIMEOUT_S_BY_OPERATION = {
+__all__ = [
+    "LocalRankClient",
+    "RankUnreachable",
+    "RemoteRankClient",
+    "call_with_short_timeout",
+]
+
+# Time-outs for replies of an agent, after which the link is closed and the rank's
+# server is called directly. Copies take up to 1.5 s, and an agent sends an order again
+# if it gets no response.
+REPLY_TIMEOUT_S_BY_OPERATION = {
     "status": 0.5,
-    # The first reading of 63 ranks is some 250 KB, half a second at 4 Mbit/s.
+    # The first snapshot of 63 ranks is about 250 KB: half a second at 4 Mbit/s.
     "counts": 1.0,
     "experts": 0.5,
     "prepare": 3.0,
 }
-# Eight tries of an order at its agent, each of 80 ms and a reading.
-ORDER_TIMEOUT_S = 1.5
+# An agent tries an order up to eight times, each up to 80 ms and a read of the status.
+ORDER_REPLY_TIMEOUT_S = 1.5
 
-# Of an agent that is thought to have stopped while all callers wait: links answer
-# within some 10 ms also across data centres.
-SUSPECT_TIMEOUT_S = 0.15
+# For an agent that has probably stopped, while all callers wait. Replies over a link
+# take about 10 ms, also across data centres.
+SHORT_TIMEOUT_S = 0.15
 
 _log = logging.getLogger(__name__)
 
 
-async def ask_briefly(call):
-    """Return the result of a call to a port that may have stopped.
+async def call_with_short_timeout(call):
+    """Return the result of a call to a rank whose agent may have stopped.
 
     Parameters
     ----------
     call : awaitable
-        The call.
+        Call of a rank client.
 
     Raises
     ------
     RankUnreachable
-        If there is no answer soon.
+        If there is no reply within 0.15 s.
     """
     try:
-        async with asyncio.timeout(SUSPECT_TIMEOUT_S):
+        async with asyncio.timeout(SHORT_TIMEOUT_S):
             return await call
     except TimeoutError:
-        raise RankUnreachable("the coordinator gives no answer") from None
+        raise RankUnreachable(f"no reply within {SHORT_TIMEOUT_S} s") from None
 
 
 class RankUnreachable(MagnoliagradeError):
-    """A rank's agent does not answer, or could not carry out a call."""
+    """A rank did not reply, or its agent could not execute a call."""
 
     def __init__(self, detail):
         super().__init__(ErrorKind.UPSTREAM_FAILED, detail)
 
 
-class _Port:
-    """Calls to one rank, whichever way they travel.
+class _RankClient:
+    """Base of the clients of one rank; a subclass defines `call` and `name`.
 
     Notes
     -----
-    `tries` is how often the order that took most was given, since it was last reset.
+    `tries` is the highest number of tries that an order took since it was last reset.
     """
 
-    __slots__ = ("_count_reader", "tries")
+    __slots__ = ("_counter_decoder", "tries")
 
     def __init__(self):
-        self._count_reader = CountReader()
+        self._counter_decoder = CounterDecoder()
         self.tries = 0
 
     async def status(self):
-        """Return the rank's status."""
+        """Return the `RankStatus` of the rank.
+
+        Raises
+        ------
+        RankUnreachable
+            If it cannot be read.
+        """
         reply = await self.call(RankCall(operation="status"))
         if reply.outcome != CONFIRMED:
-            raise RankUnreachable(f"{self.name}: no status")
+            raise RankUnreachable(f"{self.name}: status could not be read")
         return RankStatus(**json.loads(reply.status))
 
     async def order(self, operation, **fields):
-        """Give an order; returns whether it was confirmed or refused, and the status.
+        """Send an order; return its outcome and the rank's status, None if unknown.
 
         Raises
         ------
         RankUnreachable
-            If the rank's agent does not answer.
+            If the rank does not reply.
         """
         reply = await self.call(RankCall(operation=operation, **fields))
         status = RankStatus(**json.loads(reply.status)) if reply.status else None
@@ -102,44 +114,58 @@
         return reply.outcome, status
 
     async def hold(self, *, epoch, step):
-        """Hold a pass at the rank; returns as `order` does."""
+        """Hold a pass at the rank; return the outcome and the rank's status."""
         return await self.order("hold", epoch=epoch, step=step)
 
     async def counts(self, epoch):
-        """Return the rank's status and its counts as bytes.
+        """Return the rank's status and its counters as bytes.
 
         Raises
         ------
         RankUnreachable
-            If they cannot be had, or are of another epoch.
+            If they cannot be read, or belong to another epoch.
         """
-        # Of such a call, the version is the number of the last reading.
+        # In a call for counts, `version` carries the id of the last snapshot.
         reply = await self.call(
-            RankCall(operation="counts", epoch=epoch, version=self._count_reader.token)
+            RankCall(
+                operation="counts",
+                epoch=epoch,
+                version=self._counter_decoder.snapshot_id,
+            )
         )
         if reply.outcome != CONFIRMED:
-            raise RankUnreachable(f"{self.name}: no counts of epoch {epoch}")
+            raise RankUnreachable(
+                f"{self.name}: counts of epoch {epoch} could not be read"
+            )
         try:
-            counters = self._count_reader.read(reply.counts)
-        except CountsLost as exc:
+            counters = self._counter_decoder.decode(reply.counts)
+        except DeltaBaseUnknown as exc:
             raise RankUnreachable(f"{self.name}: {exc}") from exc
         return RankStatus(**json.loads(reply.status)), counters.tobytes()
 
     async def experts(self, version):
-        """Return the experts of the rank by set, if that map is in use."""
+        """Return the experts of the rank by set.
+
+        Raises
+        ------
+        RankUnreachable
+            If they cannot be read, or the rank uses another map version.
+        """
         reply = await self.call(RankCall(operation="experts", version=version))
         if reply.outcome != CONFIRMED:
-            raise RankUnreachable(f"{self.name}: no experts of map {version}")
+            raise RankUnreachable(
+                f"{self.name}: experts of map {version} could not be read"
+            )
         return unpack_experts(reply.counts)
 
 
-class OwnPort(_Port):
-    """Calls to the coordinator's own rank.
+class LocalRankClient(_RankClient):
+    """Client of the rank on this agent's machine.
 
     Parameters
     ----------
     member : RankMember
-        The agent's own part.
+        Executes the calls at the rank's server.
     """
 
     __slots__ = ("_member", "name")
@@ -147,32 +173,32 @@
     def __init__(self, *, member):
         super().__init__()
         self._member = member
-        self.name = "own rank"
+        self.name = "local rank"
 
     async def call(self, call):
-        """Carry a call out here."""
-        return await self._member.carry_out(call)
+        """Execute a call and return its reply."""
+        return await self._member.execute(call)
 
 
-class LinkPort(_Port):
-    """Calls to another rank over the link to its agent.
+class RemoteRankClient(_RankClient):
+    """Client of another rank, over the link to its agent.
 
     Parameters
     ----------
     name : str
-        Address of the agent, for logs.
+        Address of the rank's server.
     remote : RankMember
-        Calls straight to the rank's server, while its agent cannot be reached.
+        Executes calls at the rank's server while its agent cannot be reached.
     server : RankServer
-        The rank's server, for orders that have to come from this machine.
+        Client of the rank's server, for orders that have to be sent by this machine.
     """
 
     __slots__ = (
         "_link",
         "_next_call",
+        "_pending_reply_by_call",
         "_remote",
         "_server",
-        "_waiting_by_call",
         "name",
     )
 
@@ -183,72 +209,80 @@
         self._server = server
         self._link = None
         self._next_call = 0
-        self._waiting_by_call = {}
+        self._pending_reply_by_call = {}
 
     @property
-    def is_up(self):
-        """Whether the link stands."""
+    def is_linked(self):
+        """Whether the link to the agent is established."""
         return self._link is not None
 
     async def run(self, link):
-        """Take replies from a link until it ends."""
+        """Receive replies from a link until it closes."""
         self._link = link
         try:
             while True:
                 reply = await link.receive()
-                waiting = self._waiting_by_call.pop(getattr(reply, "call", 0), None)
-                if waiting is not None and not waiting.done():
-                    waiting.set_result(reply)
+                pending_reply = self._pending_reply_by_call.pop(
+                    getattr(reply, "call", 0), None
+                )
+                if pending_reply is not None and not pending_reply.done():
+                    pending_reply.set_result(reply)
         finally:
             if self._link is link:
                 self._link = None
-            for waiting in self._waiting_by_call.values():
-                if not waiting.done():
-                    waiting.set_exception(RankUnreachable(f"{self.name}: link lost"))
-            self._waiting_by_call.clear()
+            for pending_reply in self._pending_reply_by_call.values():
+                if not pending_reply.done():
+                    pending_reply.set_exception(
+                        RankUnreachable(f"{self.name}: link closed before the reply")
+                    )
+            self._pending_reply_by_call.clear()
             log_event(_log, "rank.link.down", peer=self.name)
 
     async def hold(self, *, epoch, step):
-        """Hold a pass with an order from this machine, read back by the rank's agent.
+        """Hold a pass by an order from this machine; return the outcome and the status.
 
         Notes
         -----
-        A machine that stops right after it has given the order is then not the one
-        that the order has to be taken back at.
+        If the machine that sends the order stops right afterwards, the pass is held at
+        another machine, where it can still be released.
         """
-        for _ in range(ORDER_TRIES):
-            taken = await self._server.order("hold", epoch=epoch, step=step)
+        for _ in range(MAX_ORDER_TRIES):
+            outcome = await self._server.order("hold", epoch=epoch, step=step)
             status = await self.status()
             if status.epoch == epoch and status.held_step == step:
                 return CONFIRMED, status
-            if taken is OrderOutcome.REFUSED:
+            if outcome is OrderOutcome.REFUSED:
                 return REFUSED, status
         return FAILED, status
 
     async def call(self, call):
-        """Send a call and return its reply."""
+        """Return the reply of the rank's agent, or of its server if there is none."""
         try:
-            return await self._call_agent(call)
+            return await self._call_over_link(call)
         except RankUnreachable:
             if call.operation == "counts":
-                # Read from another machine, counts make the group pause.
+                # Reading counts from another machine pauses the group.
                 raise
-        return await self._remote.carry_out(call)
+        return await self._remote.execute(call)
 
-    async def _call_agent(self, call):
+    async def _call_over_link(self, call):
         if self._link is None:
-            raise RankUnreachable(f"{self.name}: no link")
+            raise RankUnreachable(f"{self.name}: not linked")
         self._next_call += 1
         call.call = self._next_call
-        waiting = asyncio.get_running_loop().create_future()
-        self._waiting_by_call[call.call] = waiting
+        pending_reply = asyncio.get_running_loop().create_future()
+        self._pending_reply_by_call[call.call] = pending_reply
         self._link.send(call)
         try:
-            timeout_s = TIMEOUT_S_BY_OPERATION.get(call.operation, ORDER_TIMEOUT_S)
-            return await asyncio.wait_for(waiting, timeout_s)
+            timeout_s = REPLY_TIMEOUT_S_BY_OPERATION.get(
+                call.operation, ORDER_REPLY_TIMEOUT_S
+            )
+            return await asyncio.wait_for(pending_reply, timeout_s)
         except TimeoutError:
             if self._link is not None:
                 self._link.close()
-            raise RankUnreachable(f"{self.name}: no answer") from None
+            raise RankUnreachable(
+                f"{self.name}: no reply within {timeout_s} s"
+            ) from None
         finally:
-            self._waiting_by_call.pop(call.call, None)
+            self._pending_reply_by_call.pop(call.call, None)
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/direct/rank_directory.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/direct/rank_directory.py
@@ -1,4 +1,4 @@
-"""The ranks of a group: their servers in the store, and links to their agents."""
+"""Discovery of a group's ranks: server list from the store, links to their agents."""
 
 import asyncio
 import logging
@@ -9,86 +9,86 @@
 from magnoliagrade.wire import keep_linked
 
 from magnoliagrade_agent.direct.member import RankMember
-from magnoliagrade_agent.direct.ports import LinkPort, RankUnreachable
+from magnoliagrade_agent.direct.ports import RankUnreachable, RemoteRankClient
 
-__all__ = ["RankDirectory", "formation_of"]
+__all__ = ["RankDirectory", "formation_key"]
 
-# Reports are some hundred ms old when read from another machine (platform pages).
-REMOTE_LAG_S = 0.4
-# Longer than the answers of a server on a slow machine; a frozen one gives none.
-REMOTE_TIMEOUT_S = 0.5
-# Between readings of the list of servers, which costs a store call.
-MEMBERSHIP_PAUSE_S = 2.0
+# Age of a status that is read from another machine: a few hundred ms.
+REMOTE_STATUS_LAG_S = 0.4
+# Longer than a server on a slow machine takes to respond; a frozen one never responds.
+REMOTE_SERVER_TIMEOUT_S = 0.5
+# Shortest interval of reads of the server list, each of which costs a store call.
+ENDPOINT_LIST_INTERVAL_S = 2.0
 
 _log = logging.getLogger(__name__)
 
 
-def formation_of(status):
-    """Return what identifies one formation of a group: name, epoch and size."""
+def formation_key(status):
+    """Return the key of one formation of a group: name, epoch and size."""
     return status.group, status.epoch, status.size
 
 
 class RankDirectory:
-    """Ports to the ranks of this agent's group.
+    """Finds the ranks of this agent's group and keeps links to their agents.
 
     Parameters
     ----------
     node : DirectAgent
         The agent.
-    own : OwnPort
-        Port of its own rank.
+    local_client : LocalRankClient
+        Client of the agent's own rank.
     """
 
     __slots__ = (
-        "_dialling_by_address",
+        "_client_by_address",
+        "_dial_task_by_address",
         "_listed_at",
+        "_local_client",
         "_node",
-        "_own",
-        "_port_by_address",
     )
 
-    def __init__(self, *, node, own):
+    def __init__(self, *, node, local_client):
         self._node = node
-        self._own = own
+        self._local_client = local_client
         self._listed_at = float("-inf")
-        self._port_by_address = {}
-        self._dialling_by_address = {}
+        self._client_by_address = {}
+        self._dial_task_by_address = {}
 
-    async def find(self, status, *, may_miss=""):
-        """Return the ports of all ranks, in order.
+    async def find(self, status, *, suspect_address=""):
+        """Return the clients of all ranks, ordered by rank.
 
         Parameters
         ----------
         status : RankStatus
-            Status of the own rank.
-        may_miss : str
-            Address of a server that need not answer.
+            Status of the agent's own rank.
+        suspect_address : str
+            Address of a server that may have stopped and need not respond.
 
         Raises
         ------
         RankUnreachable
-            If another rank is not found.
+            If any other rank is not found.
         """
         await self._link_agents()
-        port_by_rank = {status.rank: self._own}
-        ports = list(self._port_by_address.values())
+        client_by_rank = {status.rank: self._local_client}
+        clients = list(self._client_by_address.values())
         others = await asyncio.gather(
-            *(port.status() for port in ports), return_exceptions=True
+            *(client.status() for client in clients), return_exceptions=True
         )
-        for port, other in zip(ports, others, strict=True):
+        for client, other in zip(clients, others, strict=True):
             if isinstance(other, MagnoliagradeError):
-                log_event(_log, "group.rank.silent", peer=port.name)
+                log_event(_log, "group.rank.silent", peer=client.name)
             elif isinstance(other, BaseException):
                 raise other
-            elif formation_of(other) == formation_of(status):
-                port_by_rank[other.rank] = port
-        ranks_left = [r for r in range(status.size) if r not in port_by_rank]
-        if len(ranks_left) == 1 and may_miss in self._port_by_address:
-            # Its rank is the one that nobody else has.
-            port_by_rank[ranks_left[0]] = self._port_by_address[may_miss]
-        if len(port_by_rank) != status.size:
-            missing = status.size - len(port_by_rank)
-            raise RankUnreachable(f"{missing} of {status.size} ranks are not found")
+            elif formation_key(other) == formation_key(status):
+                client_by_rank[other.rank] = client
+        missing_ranks = [r for r in range(status.size) if r not in client_by_rank]
+        if len(missing_ranks) == 1 and suspect_address in self._client_by_address:
+            # The suspect server has the only rank that no other server reports.
+            client_by_rank[missing_ranks[0]] = self._client_by_address[suspect_address]
+        if len(client_by_rank) != status.size:
+            missing = status.size - len(client_by_rank)
+            raise RankUnreachable(f"{missing} of {status.size} ranks were not found")
         log_event(
             _log,
             "group.found",
@@ -97,26 +97,28 @@
             ranks=status.size,
             own_rank=status.rank,
         )
-        return [port_by_rank[rank] for rank in range(status.size)]
+        return [client_by_rank[rank] for rank in range(status.size)]
 
     async def _link_agents(self):
         now = self._node.clock.monotonic()
-        if now - self._listed_at < MEMBERSHIP_PAUSE_S:
+        if now - self._listed_at < ENDPOINT_LIST_INTERVAL_S:
             return
         self._listed_at = now
         endpoints = await list_endpoints(self._node.store, purpose="group")
         settings = self._node.settings
-        own = settings.server_address
-        service = next((e.service for e in endpoints if e.address == own), None)
+        own_address = settings.server_address
+        service = next((e.service for e in endpoints if e.address == own_address), None)
         wanted = {
-            e.address for e in endpoints if e.service == service and e.address != own
+            e.address
+            for e in endpoints
+            if e.service == service and e.address != own_address
         }
-        for address in [a for a in self._port_by_address if a not in wanted]:
-            del self._port_by_address[address]
-            self._dialling_by_address.pop(address).cancel()
-        for address in wanted - self._port_by_address.keys():
-            self._port_by_address[address] = self._dial(address)
-        # Links come up within a few ways between data centres.
+        for address in [a for a in self._client_by_address if a not in wanted]:
+            del self._client_by_address[address]
+            self._dial_task_by_address.pop(address).cancel()
+        for address in wanted - self._client_by_address.keys():
+            self._client_by_address[address] = self._dial(address)
+        # A link is established within a few round trips between data centres.
         await self._node.clock.sleep(0.1)
 
     def _dial(self, server_address):
@@ -124,20 +126,24 @@
         host = server_address.rpartition(":")[0]
         link_port = node.settings.link_address.rpartition(":")[2]
         server = RankServer(
-            address=server_address, session=node.session, timeout_s=REMOTE_TIMEOUT_S
+            address=server_address,
+            session=node.session,
+            timeout_s=REMOTE_SERVER_TIMEOUT_S,
         )
-        remote = RankMember(server=server, clock=node.clock, read_lag_s=REMOTE_LAG_S)
-        port = LinkPort(name=server_address, remote=remote, server=server)
+        remote = RankMember(
+            server=server, clock=node.clock, status_lag_s=REMOTE_STATUS_LAG_S
+        )
+        client = RemoteRankClient(name=server_address, remote=remote, server=server)
         dialling = keep_linked(
             address=f"{host}:{link_port}",
             make_link=node.make_link,
             hello=node.hello,
-            handle=port.run,
+            handle=client.run,
             clock=node.clock,
             rng=node.rng,
             source=node.settings.source_address,
         )
-        self._dialling_by_address[server_address] = node.tasks.start(
+        self._dial_task_by_address[server_address] = node.tasks.start(
             dialling, name=f"link to agent at {host}"
         )
-        return port
+        return client
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/direct/settings.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/direct/settings.py
@@ -1,4 +1,4 @@
-"""Settings of an agent on the operators' platform."""
+"""Settings of an agent beside a model server of the operators' platform."""
 
 from dataclasses import dataclass
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class DirectAgentSettings(DirectProcessSettings):
-    """Settings of a direct agent; each field documents itself."""
+    """Settings of a direct agent; the `doc` of each field describes it."""
 
     server_address: str = setting(
         section="platform", doc="address of the model server beside it", address=True
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/direct/slow_ranks.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/direct/slow_ranks.py
@@ -1,7 +1,8 @@
-"""Telling entries, through the store, which ranks of a group are slow.
+"""Publishes the slow ranks of a group to the entries, through the store.
 
-Load pattern: one rank turns several times slower, and with it every pass of its group,
-for as long as it has requests of its own. Only agents see a rank's pace for nothing.
+Load pattern: one rank becomes several times slower, and with it every pass of its
+group, for as long as that rank has requests. Agents can read a rank's pace at no cost;
+entries cannot.
 """
 
 import logging
@@ -10,89 +11,91 @@
 from magnoliagrade.observability import log_event
 from magnoliagrade.platform import SLOW_RANKS_LIFE_S, encode_slow_ranks, slow_ranks_key
 
-__all__ = ["SLOW_PACE", "SlowRankNotice"]
+__all__ = ["SLOW_PACE", "SlowRankPublisher"]
 
-# A rank this much slower than usual makes passes long at any load: half of what the
-# least slow servers of the sites' days lose (1.6).
+# Pace from which a rank counts as slow and makes passes too long at any load. Slow
+# servers have a pace of 1.6 or more; the threshold is at half of that slowdown.
 SLOW_PACE = 1.3
-# A notice is renewed twice in its life, so that one lost call does not end it.
-RENEW_S = SLOW_RANKS_LIFE_S / 3
-# Calls are priced also while the store refuses them.
-RETRY_S = 1.0
-# Between looks at what was noted; a pass of a group takes as long.
-POLL_S = 0.05
+# The published value is renewed twice in its lifetime, so that it survives one lost
+# call.
+RENEW_INTERVAL_S = SLOW_RANKS_LIFE_S / 3
+# A call costs the same if the store rejects it, so a failed one is not retried at once.
+RETRY_DELAY_S = 1.0
+# Interval of checks for changed paces; about the length of a pass.
+POLL_INTERVAL_S = 0.05
 
 _log = logging.getLogger(__name__)
 
 
-class SlowRankNotice:
-    """The notice of one group, kept by its coordinator.
+class SlowRankPublisher:
+    """Keeps the published slow ranks of one group up to date in the store.
 
     Parameters
     ----------
     store : PlatformStore
-        The store.
+        Client of the store.
     clock : Clock
         Source of time.
     """
 
-    __slots__ = ("_clock", "_group", "_slow", "_store", "_told")
+    __slots__ = ("_clock", "_group", "_published", "_slow_pace_by_address", "_store")
 
     def __init__(self, *, store, clock):
         self._store = store
         self._clock = clock
         self._group = ""
-        self._slow = {}
-        self._told = {}
+        self._slow_pace_by_address = {}
+        self._published = {}
 
-    def note(self, group, pace_by_address):
-        """Note the paces of a group's ranks; `run` tells them if they are news.
+    def update_paces(self, group, pace_by_address):
+        """Set the paces of a group's ranks; `run` publishes the slow ones.
 
         Parameters
         ----------
         group : str
             Name of the group.
         pace_by_address : dict of str to float
-            Pace of each rank by its server's address.
+            Pace of each rank by its server's address; 2.0 is twice as slow as normal.
         """
         self._group = group
-        self._slow = {
+        self._slow_pace_by_address = {
             address: round(pace, 1)
             for address, pace in pace_by_address.items()
             if pace >= SLOW_PACE
         }
 
     async def run(self):
-        """Tell what was noted, until cancelled.
+        """Publish the slow ranks when they change or are due again, until cancelled.
 
         Notes
         -----
-        It runs beside the coordinator, which must not wait for a store that is silent.
+        It is a task of its own, because the coordinator must not wait for a store that
+        does not respond.
         """
         next_at = 0.0
         while True:
             now = self._clock.monotonic()
-            is_news = self._slow.keys() != self._told.keys()
-            if is_news or (self._slow and now >= next_at):
-                has_told = await self._tell_now(is_news)
-                next_at = now + RENEW_S
-                if not has_told:
-                    await self._clock.sleep(RETRY_S)
-            await self._clock.sleep(POLL_S)
-
-    async def _tell_now(self, is_news):
-        slow = self._slow
+            has_changed = self._slow_pace_by_address.keys() != self._published.keys()
+            if has_changed or (self._slow_pace_by_address and now >= next_at):
+                is_published = await self._publish_now(has_changed)
+                next_at = now + RENEW_INTERVAL_S
+                if not is_published:
+                    await self._clock.sleep(RETRY_DELAY_S)
+            await self._clock.sleep(POLL_INTERVAL_S)
+
+    async def _publish_now(self, has_changed):
+        slow = self._slow_pace_by_address
         try:
-            await self._tell(slow_ranks_key(self._group), slow)
+            await self._write(slow_ranks_key(self._group), slow)
         except MagnoliagradeError as exc:
             log_event(_log, "group.slow_ranks.untold", detail=exc.detail)
             return False
-        if is_news:
+        if has_changed:
             log_event(_log, "group.slow_ranks", group=self._group, pace_by_address=slow)
-        self._told = slow
+        self._published = slow
         return True
 
-    async def _tell(self, key, slow):
+    async def _write(self, key, slow):
         if slow:
             value = encode_slow_ranks(slow)
             await self._store.put(key, value, expected_revision=None, purpose="group")
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/direct/switching.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/direct/switching.py
@@ -1,20 +1,23 @@
-"""Switching all ranks of a group to another expert map at one pass.
-
-Ranks do not compare maps, and an order without an answer may be carried out seconds
-later. What keeps two maps from meeting in a pass:
-
-- A pass is held at one rank before any rank is armed for it, and each order is read
-  back. It is held at another rank than the coordinator's, so that others can release
-  it if the coordinator's machine stops.
-- The coordinator's own rank is armed last. While another rank has never been armed,
-  neither has this one, even if nobody can ask it. The rank that holds the pass is armed
-  only after all others have answered: a coordinator whose machine stops right after its
-  first orders, which may be carried out all the same, leaves that rank unarmed.
-- The pass is released once all ranks are armed alike, or once no rank is armed and a
-  newer map is prepared on all: orders to arm an older one are then refused.
-- A rank is disarmed only after some rank that was not armed has prepared a newer map.
-  From then on the older map can never be armed on all ranks, so nobody releases a
-  pass because of it, and a late order to disarm does no harm.
+"""Switches all ranks of a group to another expert map at one pass.
+
+A switch prepares the map on all ranks, holds a pass, arms all ranks for that pass and
+releases it. Ranks do not compare maps, and an order without a response may be executed
+seconds later. The following rules ensure that no pass runs with two maps:
+
+- A pass is held at one rank before any rank is armed for it, and the effect of each
+  order is read from the rank's status. The pass is not held at the coordinator's rank,
+  so that other agents can release it if the coordinator's machine stops.
+- The coordinator's own rank is armed last. While any other rank has never been armed,
+  the coordinator's rank has not been armed either, even if its status cannot be read.
+- The rank that holds the pass is armed only after all ranks but the coordinator's have
+  confirmed that they are armed. If the coordinator's machine stops right after its
+  first orders to arm, these may still be executed, but the holding rank is unarmed.
+- The pass is released in two cases only: if all ranks are armed for the same map and
+  pass, or if no rank is armed and a newer map is prepared on all of them. In the second
+  case each rank rejects late orders to arm an older map.
+- A rank is disarmed only after at least one rank that was not armed has prepared a
+  newer map. From then on the older map can never be armed on all ranks, so no agent
+  releases a pass because of it, and a late order to disarm does no harm.
 - Versions and held passes are not used twice.
 """
 
@@ -27,7 +30,7 @@
 
 from magnoliagrade_agent.direct.expert_map_codec import pack_experts
 from magnoliagrade_agent.direct.member import CONFIRMED
-from magnoliagrade_agent.direct.ports import RankUnreachable, ask_briefly
+from magnoliagrade_agent.direct.ports import RankUnreachable, call_with_short_timeout
 
 __all__ = [
     "GroupSwitch",
@@ -38,22 +41,25 @@
     "next_version",
 ]
 
-# Time between the hold and the switch. Arming takes some 50 ms, so the pass is released
-# before the group reaches it. Where an order has just had no answer, arming may need
-# several tries of 80 ms: a group that waits for a held pass makes all its streams late.
-LEAD_S = 0.25
-LEAD_LOSSY_S = 0.75
-# The shortest pass of a group (site sheets: 5 steps of 5.85 ms).
-SHORTEST_PASS_S = 0.03
-# The pass that is under way may end at once.
-LEAD_MIN_PASSES = 2
-# Versions are drawn from a range, so that an order of another coordinator, or of an
-# earlier process of this one, never carries the same version with another map.
+# Time between the hold and the pass of the switch. Arming takes about 50 ms, so the
+# pass is released before the group reaches it: a group that waits for a held pass makes
+# all its streams late.
+LEAD_TIME_S = 0.25
+# Lead time if an order has just had no response: arming may then need several tries of
+# 80 ms.
+LEAD_TIME_LOSSY_S = 0.75
+# Shortest pass of a group: 5 steps of 5.85 ms.
+MIN_PASS_S = 0.03
+# Two, because the pass that is under way may end at once.
+MIN_LEAD_PASSES = 2
+# Versions are drawn at random from a range of this size, so that an order of another
+# coordinator, or of an earlier process of this agent, does not carry the same version
+# with another map.
 VERSION_STRIDE = 2**24
-# Between tries: about two passes, in which late orders show.
-SETTLE_PAUSE_S = 0.1
-# Some seconds, after which the caller looks at the group anew.
-SETTLE_TRIES = 20
+# Interval of tries: about two passes, in which late orders take effect.
+SETTLE_RETRY_INTERVAL_S = 0.1
+# Together at least 2 s, after which the caller reads the group's state again.
+MAX_SETTLE_TRIES = 20
 
 _log = logging.getLogger(__name__)
 
@@ -66,39 +72,40 @@
     pass_s : float
         Recent length of a pass in seconds; 0 if that is not known.
     is_lossy : bool
-        Whether orders have just had no answer.
+        Whether an order has just had no response.
 
     Notes
     -----
-    Load pattern: one rank turns several times slower, and passes take half a second. A
-    switch that is armed many passes ahead would come when the slow time is over.
+    Load pattern: one rank becomes several times slower, and passes take half a second.
+    A switch that is armed many passes ahead would take place when the rank is no longer
+    slow.
 
     Examples
     --------
     >>> lead_passes(0.06), lead_passes(0.6), lead_passes(0.0)
     (6, 2, 10)
     """
-    lead_s = LEAD_LOSSY_S if is_lossy else LEAD_S
-    passes = math.ceil(lead_s / max(SHORTEST_PASS_S, pass_s))
-    return max(LEAD_MIN_PASSES, passes + 1)
+    lead_s = LEAD_TIME_LOSSY_S if is_lossy else LEAD_TIME_S
+    passes = math.ceil(lead_s / max(MIN_PASS_S, pass_s))
+    return max(MIN_LEAD_PASSES, passes + 1)
 
 
 class SwitchFailed(MagnoliagradeError):
-    """A switch did not take place; the group has its former map."""
+    """A switch did not take place; the group keeps its former map."""
 
     def __init__(self, detail):
         super().__init__(ErrorKind.UPSTREAM_FAILED, detail)
 
 
 def next_version(statuses, *, rng):
-    """Return a version that no rank has had and no other coordinator draws.
+    """Return a version above those of all ranks, unlike those of other coordinators.
 
     Parameters
     ----------
     statuses : iterable of RankStatus
-        All ranks.
+        Status of all ranks.
     rng : random.Random
-        Source of chance.
+        Random number generator.
 
     Examples
     --------
@@ -122,41 +129,41 @@
 
 
 class GroupSwitch:
-    """Orders to all ranks of one group in one epoch.
+    """Switches the ranks of one group in one epoch.
 
     Parameters
     ----------
-    ports : list of port
-        One for each rank, in order.
-    own : port
-        The coordinator's.
+    clients : list of rank client
+        One for each rank, ordered by rank.
+    local_client : rank client
+        Client of the coordinator's own rank.
     epoch : int
         Epoch of the group.
     clock : Clock
         Source of time.
     rng : random.Random
-        Source of chance.
+        Random number generator.
     """
 
-    __slots__ = ("_clock", "_epoch", "_last_step", "_own", "ports", "_rng")
+    __slots__ = ("_clock", "_epoch", "_last_step", "_local_client", "_rng", "clients")
 
-    def __init__(self, *, ports, own, epoch, clock, rng):
-        self.ports = ports
-        self._own = own
+    def __init__(self, *, clients, local_client, epoch, clock, rng):
+        self.clients = clients
+        self._local_client = local_client
         self._epoch = epoch
         self._clock = clock
         self._rng = rng
         self._last_step = 0
 
     async def run(self, experts, former_experts, *, pass_s=0.0):
-        """Switch to a map; returns its version.
+        """Switch to a map and return its version.
 
         Parameters
         ----------
         experts : list of list of list of int
             Experts by set and rank.
         former_experts : list of list of list of int
-            Map in use, which a failed switch falls back to.
+            Map in use, to which the group returns if the switch fails.
         pass_s : float, optional
             Recent length of a pass in seconds; 0 if that is not known.
 
@@ -170,25 +177,31 @@
             await self.settle(former_experts)
             statuses = await self.statuses()
         if any(status.armed_version is not None for status in statuses):
-            raise SwitchFailed("a former switch waits for its pass")
+            raise SwitchFailed("an earlier switch has not reached its pass")
         version = next_version(statuses, rng=self._rng)
-        for port in self.ports:
-            port.tries = 0
-        if not await self._prepare(self.ports, version, experts):
-            raise SwitchFailed(f"not all ranks prepared map {version}")
-        is_lossy = any(port.tries > 1 for port in self.ports)
+        for client in self.clients:
+            client.tries = 0
+        if not await self._prepare(self.clients, version, experts):
+            raise SwitchFailed(f"map {version} was not prepared on all ranks")
+        is_lossy = any(client.tries > 1 for client in self.clients)
         lead = lead_passes(pass_s, is_lossy=is_lossy)
         step = max(s.step for s in await self.statuses()) + lead
         step = self._last_step = max(step, self._last_step + 1)
-        holder = self._holder()
+        holder = self._holding_client()
         outcome, _ = await holder.hold(epoch=self._epoch, step=step)
         if outcome != CONFIRMED:
             await self._release(holder, step)
             raise SwitchFailed(f"pass {step} could not be held")
-        first = [port for port in self.ports if port not in (self._own, holder)]
+        others = [
+            client
+            for client in self.clients
+            if client not in (self._local_client, holder)
+        ]
         try:
-            for ports in (first, [holder], [self._own]):
-                armed = await self._order_all(ports, "arm", version=version, step=step)
+            for clients in (others, [holder], [self._local_client]):
+                armed = await self._order_all(
+                    clients, "arm", version=version, step=step
+                )
                 if not armed:
                     break
         except RankUnreachable as exc:
@@ -196,7 +209,7 @@
             armed = False
         if not armed:
             await self.settle(former_experts)
-            raise SwitchFailed(f"not all ranks were armed with {version}")
+            raise SwitchFailed(f"map {version} was not armed on all ranks")
         await self._release(holder, step)
         log_event(
             _log,
@@ -208,91 +221,104 @@
         return version
 
     async def settle(self, former_experts, *, coordinator=None):
-        """Leave no rank armed alone and no pass held, whatever happened before.
+        """Bring the group out of an unfinished switch, so that no pass remains held.
+
+        Either all ranks are armed for the same map and pass, or none is armed.
 
         Parameters
         ----------
         former_experts : list of list of list of int
             Map in use.
-        coordinator : port, optional
-            Port of the coordinator that left the group unsettled; it need not answer.
+        coordinator : rank client, optional
+            Client of the rank whose agent coordinated; this rank need not reply.
 
         Raises
         ------
         MagnoliagradeError
-            If it cannot be done now.
+            If the group cannot be settled now.
         """
-        for _ in range(SETTLE_TRIES):
-            pairs = await self._answering(coordinator)
+        for _ in range(MAX_SETTLE_TRIES):
+            pairs = await self._reachable_statuses(coordinator)
             if not any(is_unsettled(status) for _, status in pairs):
                 return
             armed = {(s.armed_version, s.armed_step) for _, s in pairs}
-            is_alike = len(armed) == 1 and None not in armed.pop()
-            if is_alike and len(pairs) < len(self.ports):
-                raise RankUnreachable("the coordinator may be the only one unarmed")
-            if is_alike or await self._void(pairs, former_experts):
+            is_armed_alike = len(armed) == 1 and None not in armed.pop()
+            if is_armed_alike and len(pairs) < len(self.clients):
+                raise RankUnreachable(
+                    "no reply from the coordinator's rank, which may be unarmed"
+                )
+            if is_armed_alike or await self._invalidate_armed_maps(
+                pairs, former_experts
+            ):
                 await self._release_all(pairs)
                 return
-            await self._clock.sleep(SETTLE_PAUSE_S)
+            await self._clock.sleep(SETTLE_RETRY_INTERVAL_S)
         raise SwitchFailed("the group could not be settled")
 
     async def statuses(self):
-        """Return the status of all ranks.
+        """Return the statuses of all ranks, ordered by rank.
 
         Raises
         ------
         RankUnreachable
-            If one cannot be had, or is of another epoch.
+            If one cannot be read, or the group has left the epoch.
         """
-        return [status for _, status in await self._answering(None)]
+        return [status for _, status in await self._reachable_statuses(None)]
 
-    async def _answering(self, coordinator):
-        """Return ports with their statuses; only the coordinator's may be missing."""
+    async def _reachable_statuses(self, coordinator):
+        """Return pairs of client and status; only the coordinator's may be missing."""
         found = await asyncio.gather(
             *(
-                ask_briefly(port.status()) if port is coordinator else port.status()
-                for port in self.ports
+                call_with_short_timeout(client.status())
+                if client is coordinator
+                else client.status()
+                for client in self.clients
             ),
             return_exceptions=True,
         )
         pairs = []
-        for port, status in zip(self.ports, found, strict=True):
-            if isinstance(status, MagnoliagradeError) and port is coordinator:
+        for client, status in zip(self.clients, found, strict=True):
+            if isinstance(status, MagnoliagradeError) and client is coordinator:
                 continue
             if isinstance(status, BaseException):
                 raise status
             if status.epoch != self._epoch or not status.is_open:
                 raise RankUnreachable(f"the group has left epoch {self._epoch}")
-            pairs.append((port, status))
+            pairs.append((client, status))
         return pairs
 
-    def _holder(self):
-        index = self.ports.index(self._own)
-        return self.ports[(index + 1) % len(self.ports)]
+    def _holding_client(self):
+        index = self.clients.index(self._local_client)
+        return self.clients[(index + 1) % len(self.clients)]
 
-    async def _void(self, pairs, former_experts):
-        """Make sure that no rank is armed or can be; returns whether all agreed."""
+    async def _invalidate_armed_maps(self, pairs, former_experts):
+        """Disarm all ranks and make them reject orders to arm an older map.
+
+        Returns whether a newer map is prepared on all of them.
+        """
         version = next_version([s for _, s in pairs], rng=self._rng)
-        free = [port for port, s in pairs if s.armed_version is None]
-        armed = [(port, s.armed_version) for port, s in pairs if s.armed_version]
+        free = [client for client, s in pairs if s.armed_version is None]
+        armed = [(client, s.armed_version) for client, s in pairs if s.armed_version]
         if not await self._prepare(free, version, former_experts):
             return False
-        for port, armed_version in armed:
-            await port.order("disarm", epoch=self._epoch, version=armed_version)
-        return await self._prepare([port for port, _ in armed], version, former_experts)
+        for client, armed_version in armed:
+            await client.order("disarm", epoch=self._epoch, version=armed_version)
+        return await self._prepare(
+            [client for client, _ in armed], version, former_experts
+        )
 
     async def _release_all(self, pairs):
         released = []
-        for port, status in pairs:
+        for client, status in pairs:
             if status.held_step is None:
                 continue
-            await port.order("release", epoch=self._epoch, step=status.held_step)
+            await client.order("release", epoch=self._epoch, step=status.held_step)
             released.append(status.held_step)
         log_event(_log, "group.settled", epoch=self._epoch, released=released)
 
-    async def _prepare(self, ports, version, experts):
+    async def _prepare(self, clients, version, experts):
         return await self._order_all(
-            ports, "prepare", version=version, placement=pack_experts(experts)
+            clients, "prepare", version=version, placement=pack_experts(experts)
         )
 
     async def _release(self, holder, step):
@@ -304,17 +330,20 @@
                 return
             if status is not None and status.epoch != self._epoch:
                 return
-            await self._clock.sleep(SETTLE_PAUSE_S)
+            await self._clock.sleep(SETTLE_RETRY_INTERVAL_S)
 
-    async def _order_all(self, ports, operation, **fields):
+    async def _order_all(self, clients, operation, **fields):
         outcomes = await asyncio.gather(
-            *(port.order(operation, epoch=self._epoch, **fields) for port in ports)
+            *(
+                client.order(operation, epoch=self._epoch, **fields)
+                for client in clients
+            )
         )
         return all(outcome == CONFIRMED for outcome, _ in outcomes)
 
 
 def is_next_pass_held(status):
-    """Return whether a rank holds the pass that is due next."""
+    """Return whether a rank holds the next pass, so that the group waits for it."""
     return status.held_step is not None and status.step >= status.held_step - 1
 
 
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/direct/tests/group_fake.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/direct/tests/group_fake.py
@@ -1,4 +1,4 @@
-"""A group of ranks that loses and delays orders, and checks each pass."""
+"""Fake group of ranks that loses and delays orders and checks each pass."""
 
 import heapq
 
@@ -6,35 +6,35 @@
 from magnoliagrade.platform import OrderOutcome
 from magnoliagrade.world.site import RankStatus
 
-ORDER_MAX_S = 0.1
-LATE_FROM_S, LATE_TO_S = 0.05, 3.0
+MAX_ORDER_DELAY_S = 0.1
+MIN_LATE_S, MAX_LATE_S = 0.05, 3.0
 
 
 class FakeGroup:
-    """Ranks in lock-step; `mixed_passes` counts passes with two maps in use."""
+    """Ranks in lock-step; `mixed_passes` counts passes that ran with two maps."""
 
-    def __init__(self, *, size, rng, clock, late=0.0, lost=0.0):
+    def __init__(self, *, size, rng, clock, late_fraction=0.0, lost_fraction=0.0):
         self.rng = rng
         self.clock = clock
-        self.late = late
-        self.lost = lost
-        # Operations that may be late; empty means all.
+        self.late_fraction = late_fraction
+        self.lost_fraction = lost_fraction
+        # Operations whose orders may be late; empty means all.
         self.late_operations = ()
         self.epoch = 1
         self.step = 0
         self.mixed_passes = 0
         self.ranks = [FakeRank(group=self, rank=r) for r in range(size)]
-        self._due = []
-        self._order = 0
+        self._late_orders = []
+        self._order_count = 0
 
-    def put_off(self, action):
-        self._order += 1
-        at = self.clock.monotonic() + self.rng.uniform(LATE_FROM_S, LATE_TO_S)
-        heapq.heappush(self._due, (at, self._order, action))
+    def delay_order(self, action):
+        self._order_count += 1
+        at = self.clock.monotonic() + self.rng.uniform(MIN_LATE_S, MAX_LATE_S)
+        heapq.heappush(self._late_orders, (at, self._order_count, action))
 
     def run_late_orders(self):
-        while self._due and self._due[0][0] <= self.clock.monotonic():
-            heapq.heappop(self._due)[2]()
+        while self._late_orders and self._late_orders[0][0] <= self.clock.monotonic():
+            heapq.heappop(self._late_orders)[2]()
 
     def begin_pass(self):
         if any(rank.held == self.step + 1 for rank in self.ranks):
@@ -47,14 +47,14 @@
         if len({(rank.version, str(rank.map)) for rank in self.ranks}) > 1:
             self.mixed_passes += 1
 
-    def form_anew(self):
+    def begin_new_epoch(self):
         self.epoch += 1
         for rank in self.ranks:
             rank.reset()
 
 
 class FakeRank:
-    """One rank's server: the calls of `RankServer` with the platform's refusals."""
+    """Stands in for one rank's `RankServer`; rejects the orders that servers reject."""
 
     def __init__(self, *, group, rank):
         self.group = group
@@ -67,11 +67,11 @@
         self.armed = None
         self.held = None
         self.seen = {0}
-        self.is_silent = False
+        self.is_unresponsive = False
 
     async def status(self):
         group = self.group
-        if self.is_silent or group.rng.random() < group.lost / 2:
+        if self.is_unresponsive or group.rng.random() < group.lost_fraction / 2:
             raise MagnoliagradeError(ErrorKind.UPSTREAM_FAILED, "no answer")
         return RankStatus(
             group="g",
@@ -93,15 +93,15 @@
         def carry_out():
             return self._carry_out(operation, epoch, version, step, experts)
 
-        await group.clock.sleep(group.rng.uniform(0.0, ORDER_MAX_S))
-        if self.is_silent:
+        await group.clock.sleep(group.rng.uniform(0.0, MAX_ORDER_DELAY_S))
+        if self.is_unresponsive:
             return OrderOutcome.UNKNOWN
         drawn = group.rng.random()
         may_be_late = not group.late_operations or operation in group.late_operations
-        if drawn < group.late and may_be_late:
-            group.put_off(carry_out)
+        if drawn < group.late_fraction and may_be_late:
+            group.delay_order(carry_out)
             return OrderOutcome.UNKNOWN
-        if drawn < group.late + group.lost:
+        if drawn < group.late_fraction + group.lost_fraction:
             if group.rng.random() < 0.5:
                 carry_out()
             return OrderOutcome.UNKNOWN
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/direct/tests/test_instance.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/direct/tests/test_instance.py
@@ -5,7 +5,7 @@
 from magnoliagrade_agent.direct import DirectAgent, DirectAgentSettings
 
 
-def test_agent_goes_on_after_sighup():
+def test_agent_keeps_running_after_sighup():
     async def scenario():
         agent = DirectAgent(settings=_settings())
         await agent.start()
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/direct/tests/test_switching.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/direct/tests/test_switching.py
@@ -5,7 +5,7 @@
 from magnoliagrade.errors import MagnoliagradeError
 
 from magnoliagrade_agent.direct.member import RankMember
-from magnoliagrade_agent.direct.ports import OwnPort
+from magnoliagrade_agent.direct.ports import LocalRankClient
 from magnoliagrade_agent.direct.switching import GroupSwitch, next_version
 from magnoliagrade_agent.direct.tests.group_fake import FakeGroup
 
@@ -14,11 +14,13 @@
 PASS_S = 0.06
 
 
-def test_calm_switch_reaches_all_ranks_without_stopping_the_group():
-    group, clock = _group(random.Random(1), late=0.0, lost=0.0)
+def test_switch_without_faults_reaches_all_ranks_and_does_not_stall_the_group():
+    group, clock = _group(random.Random(1), late_fraction=0.0, lost_fraction=0.0)
 
     async def scenario():
-        await _play(group, clock, _switch(group, clock, 0).run([["a"]], [["b"]]), 2.0)
+        await _simulate(
+            group, clock, _switch(group, clock, 0).run([["a"]], [["b"]]), 2.0
+        )
 
     asyncio.run(scenario())
     versions = {rank.version for rank in group.ranks}
@@ -28,173 +30,183 @@
     assert group.step >= 2.0 / PASS_S - 2
 
 
-def test_switch_of_a_group_with_a_slow_rank_comes_within_two_seconds():
+def test_switch_of_a_group_with_a_slow_rank_completes_within_two_seconds():
     # A rank is twelve times slower for some seconds: passes take 0.6 s.
-    group, clock = _group(random.Random(1), late=0.0, lost=0.0)
+    group, clock = _group(random.Random(1), late_fraction=0.0, lost_fraction=0.0)
     work = _switch(group, clock, 0).run([["a"]], [["b"]], pass_s=0.6)
-    asyncio.run(_play(group, clock, work, 2.0, pass_s=0.6))
+    asyncio.run(_simulate(group, clock, work, 2.0, pass_s=0.6))
     assert {rank.version for rank in group.ranks} != {0}
     assert group.mixed_passes == 0
 
 
-def test_no_pass_sees_two_maps_whatever_orders_do():
+def test_no_pass_runs_with_two_maps_when_orders_are_late_or_lost():
     switched = 0
     for seed in range(SEEDS):
         rng = random.Random(seed)
-        group, clock = _group(rng, late=rng.uniform(0, 0.8), lost=rng.uniform(0, 0.2))
-        asyncio.run(_switches_with_faults(group, clock, rng))
+        group, clock = _group(
+            rng, late_fraction=rng.uniform(0, 0.8), lost_fraction=rng.uniform(0, 0.2)
+        )
+        asyncio.run(_run_switches_with_faults(group, clock, rng))
         assert group.mixed_passes == 0, f"seed {seed}"
         switched += group.ranks[0].version > 0
     assert switched > SEEDS / 4
 
 
-def test_two_coordinators_at_once_never_mix_maps():
+def test_no_pass_runs_with_two_maps_under_two_coordinators():
     for seed in range(100):
         rng = random.Random(seed)
-        group, clock = _group(rng, late=rng.uniform(0, 0.5), lost=rng.uniform(0, 0.2))
-        asyncio.run(_two_at_once(group, clock, rng))
+        group, clock = _group(
+            rng, late_fraction=rng.uniform(0, 0.5), lost_fraction=rng.uniform(0, 0.2)
+        )
+        asyncio.run(_run_two_coordinators(group, clock, rng))
         assert group.mixed_passes == 0, f"seed {seed}"
 
 
-def test_a_pass_held_by_a_coordinator_that_died_is_released():
+def test_a_pass_held_by_a_stopped_coordinator_is_released():
     for seed in range(40):
         rng = random.Random(seed)
-        group, clock = _group(rng, late=0.2, lost=0.1)
-        asyncio.run(_coordinator_dies(group, clock, rng))
+        group, clock = _group(rng, late_fraction=0.2, lost_fraction=0.1)
+        asyncio.run(_stop_coordinator(group, clock, rng))
         assert group.mixed_passes == 0, f"seed {seed}"
         assert all(rank.held is None for rank in group.ranks), f"seed {seed}"
 
 
-def test_settling_makes_orders_to_arm_void_that_are_still_on_their_way():
+def test_late_orders_to_arm_have_no_effect_after_settling():
     for seed in range(60):
-        group, clock = _group(random.Random(seed), late=0.5, lost=0.0)
+        group, clock = _group(random.Random(seed), late_fraction=0.5, lost_fraction=0.0)
         group.late_operations = ("arm",)
-        asyncio.run(_dies_while_arming(group, clock))
+        asyncio.run(_stop_while_arming(group, clock))
         assert group.mixed_passes == 0, f"seed {seed}"
 
 
-def test_others_release_the_pass_of_a_coordinator_whose_machine_stops():
+def test_other_agents_release_the_pass_of_a_coordinator_whose_machine_stops():
     for seed in range(100):
         rng = random.Random(seed)
-        late = rng.choice([0.0, 0.2])
-        group, clock = _group(rng, late=late, lost=0.0)
-        can_go_on, went_on = asyncio.run(_machine_stops(group, clock, rng))
+        late_fraction = rng.choice([0.0, 0.2])
+        group, clock = _group(rng, late_fraction=late_fraction, lost_fraction=0.0)
+        can_continue, has_continued = asyncio.run(_stop_machine(group, clock, rng))
         assert group.mixed_passes == 0, f"seed {seed}"
-        assert went_on or late or not can_go_on, f"seed {seed}"
+        assert has_continued or late_fraction or not can_continue, f"seed {seed}"
 
 
-def test_a_machine_that_stops_after_its_first_orders_to_arm_leaves_a_rank_unarmed():
-    # The orders are on their way and are carried out all the same.
-    stopped = 0
+def test_a_coordinator_that_stops_after_its_first_orders_to_arm_leaves_a_rank_unarmed():
+    # The orders have been sent and are executed after the coordinator has stopped.
+    settled = 0
     for seed in range(60):
-        group, clock = _group(random.Random(seed), late=0.0, lost=0.0)
-        stopped += asyncio.run(_stops_after_first_arms(group, clock))
+        group, clock = _group(random.Random(seed), late_fraction=0.0, lost_fraction=0.0)
+        settled += asyncio.run(_stop_after_first_arms(group, clock))
         assert group.mixed_passes == 0, f"seed {seed}"
-    assert stopped == 60
+    assert settled == 60
 
 
-def test_versions_of_two_coordinators_never_meet():
+def test_versions_of_coordinators_differ():
     drawn = {next_version([], rng=random.Random(seed)) for seed in range(50)}
     assert len(drawn) == 50
 
 
-async def _switches_with_faults(group, clock, rng):
-    """Coordinators that die at any moment, and passes that are quick or rare."""
+async def _run_switches_with_faults(group, clock, rng):
+    """Run switches that are cancelled at any moment, with short and long passes."""
     for turn in range(5):
-        own = rng.randrange(2)
+        local_rank = rng.randrange(2)
         pass_s = rng.choice([0.03, PASS_S, 0.4, 2.0])
-        known_s = rng.choice([0.0, pass_s, rng.choice([0.03, 0.6])])
-        work = _switch(group, clock, own).run(
-            [[f"map {turn}"]], [["former"]], pass_s=known_s
+        reported_pass_s = rng.choice([0.0, pass_s, rng.choice([0.03, 0.6])])
+        work = _switch(group, clock, local_rank).run(
+            [[f"map {turn}"]], [["former"]], pass_s=reported_pass_s
         )
-        await _play(group, clock, work, rng.uniform(0.02, 4.0), pass_s=pass_s)
+        await _simulate(group, clock, work, rng.uniform(0.02, 4.0), pass_s=pass_s)
         if rng.random() < 0.1:
-            group.form_anew()
-    await _play(group, clock, asyncio.sleep(0), 6.0, pass_s=0.3)
+            group.begin_new_epoch()
+    await _simulate(group, clock, asyncio.sleep(0), 6.0, pass_s=0.3)
 
 
-async def _two_at_once(group, clock, rng):
-    async def coordinate(own):
+async def _run_two_coordinators(group, clock, rng):
+    async def coordinate(local_rank):
         for turn in range(4):
-            switch = _switch(group, clock, own)
+            switch = _switch(group, clock, local_rank)
             try:
-                await switch.run([[f"map {turn} of {own}"]], [["former"]])
+                await switch.run([[f"map {turn} of {local_rank}"]], [["former"]])
             except MagnoliagradeError:
                 await clock.sleep(rng.uniform(0, 0.3))
 
     both = asyncio.gather(coordinate(0), coordinate(1))
-    await _play(group, clock, both, 12.0, pass_s=rng.choice([PASS_S, 0.5]))
+    await _simulate(group, clock, both, 12.0, pass_s=rng.choice([PASS_S, 0.5]))
 
 
-async def _dies_while_arming(group, clock):
-    rare_s = 2.0
+async def _stop_while_arming(group, clock):
+    long_pass_s = 2.0
     work = _switch(group, clock, 0).run([["new"]], [["former"]])
-    await _play(group, clock, work, group.rng.uniform(0.1, 0.5), pass_s=rare_s)
+    await _simulate(group, clock, work, group.rng.uniform(0.1, 0.5), pass_s=long_pass_s)
     work = _switch(group, clock, 1).settle([["former"]])
-    await _play(group, clock, work, 20.0, pass_s=rare_s)
+    await _simulate(group, clock, work, 20.0, pass_s=long_pass_s)
 
 
-async def _machine_stops(group, clock, rng):
-    """Stop the coordinator's machine; return whether passes can and did go on."""
-    first = asyncio.ensure_future(_switch(group, clock, 0).run([["new"]], [["former"]]))
-    await _play(group, clock, asyncio.sleep(0), rng.uniform(0.05, 0.6))
-    first.cancel()
-    group.ranks[0].is_silent = True
-    # Once all others are armed, nobody can know whether the coordinator's rank is.
-    can_go_on = any(rank.armed is None for rank in group.ranks[1:])
+async def _stop_machine(group, clock, rng):
+    """Stop the coordinator's machine; return whether passes can and did continue."""
+    task = asyncio.ensure_future(_switch(group, clock, 0).run([["new"]], [["former"]]))
+    await _simulate(group, clock, asyncio.sleep(0), rng.uniform(0.05, 0.6))
+    task.cancel()
+    group.ranks[0].is_unresponsive = True
+    # Once all other ranks are armed, the coordinator's rank may be armed or not.
+    can_continue = any(rank.armed is None for rank in group.ranks[1:])
     switch = _switch(group, clock, 1)
     for _ in range(3):
-        rescue = switch.settle([["former"]], coordinator=switch.ports[0])
-        if await _play(group, clock, rescue, 1.0):
+        recovery = switch.settle([["former"]], coordinator=switch.clients[0])
+        if await _simulate(group, clock, recovery, 1.0):
             break
     step = group.step
-    await _play(group, clock, asyncio.sleep(0), 1.0)
-    went_on = group.step > step + 8
-    group.ranks[0].is_silent = False
-    await _play(group, clock, _switch(group, clock, 0).settle([["former"]]), 3.0)
-    await _play(group, clock, asyncio.sleep(0), 4.0)
-    return can_go_on, went_on
+    await _simulate(group, clock, asyncio.sleep(0), 1.0)
+    has_continued = group.step > step + 8
+    group.ranks[0].is_unresponsive = False
+    await _simulate(group, clock, _switch(group, clock, 0).settle([["former"]]), 3.0)
+    await _simulate(group, clock, asyncio.sleep(0), 4.0)
+    return can_continue, has_continued
 
 
-async def _stops_after_first_arms(group, clock):
-    """Stop with the first orders to arm; return whether another releases the pass."""
-    switch = _switch(group, clock, 0, port_class=SentPort)
+async def _stop_after_first_arms(group, clock):
+    """Stop at the first orders to arm; return whether another agent settles."""
+    switch = _switch(group, clock, 0, client_class=UncancellableClient)
     task = asyncio.ensure_future(switch.run([["new"]], [["former"]]))
-    while not any("arm" in port.sent for port in switch.ports):
+    while not any("arm" in client.sent for client in switch.clients):
         await clock.advance(TICK_S / 10)
     task.cancel()
-    # What was sent arrives; passes that are not held go on.
-    await _play(group, clock, asyncio.sleep(0), 0.5)
-    group.ranks[0].is_silent = True
-    is_free = any(rank.armed is None for rank in group.ranks[1:])
-    rescuer = _switch(group, clock, 1)
-    rescue = rescuer.settle([["former"]], coordinator=rescuer.ports[0])
-    return is_free and await _play(group, clock, rescue, 2.0)
+    # Sent orders are executed; passes that are not held continue.
+    await _simulate(group, clock, asyncio.sleep(0), 0.5)
+    group.ranks[0].is_unresponsive = True
+    has_unarmed_rank = any(rank.armed is None for rank in group.ranks[1:])
+    other_switch = _switch(group, clock, 1)
+    recovery = other_switch.settle([["former"]], coordinator=other_switch.clients[0])
+    return has_unarmed_rank and await _simulate(group, clock, recovery, 2.0)
 
 
-async def _coordinator_dies(group, clock, rng):
+async def _stop_coordinator(group, clock, rng):
     work = _switch(group, clock, 0).run([["new"]], [["former"]])
-    await _play(group, clock, work, rng.uniform(0.02, 0.5))
+    await _simulate(group, clock, work, rng.uniform(0.02, 0.5))
     for _ in range(40):
         work = _switch(group, clock, 1).settle([["former"]])
-        if await _play(group, clock, work, 20.0):
+        if await _simulate(group, clock, work, 20.0):
             break
-    # Late orders to hold may still come, as they did for the former coordinator.
-    await _play(group, clock, asyncio.sleep(0), 4.0)
+    # Late orders of the former coordinator to hold a pass may still be executed.
+    await _simulate(group, clock, asyncio.sleep(0), 4.0)
     for _ in range(40):
         work = _switch(group, clock, 1).settle([["former"]])
-        if await _play(group, clock, work, 20.0):
+        if await _simulate(group, clock, work, 20.0):
             break
-    group.late = 0.0
+    group.late_fraction = 0.0
 
 
-def _group(rng, *, late, lost):
+def _group(rng, *, late_fraction, lost_fraction):
     clock = ManualClock()
-    return FakeGroup(size=4, rng=rng, clock=clock, late=late, lost=lost), clock
+    return FakeGroup(
+        size=4,
+        rng=rng,
+        clock=clock,
+        late_fraction=late_fraction,
+        lost_fraction=lost_fraction,
+    ), clock
 
 
-class SentPort(OwnPort):
-    """Port whose calls are carried out also if the caller is gone."""
+class UncancellableClient(LocalRankClient):
+    """Rank client whose calls are executed even if the caller is cancelled."""
 
     def __init__(self, *, member):
         super().__init__(member=member)
@@ -205,21 +217,25 @@
         return await asyncio.shield(super().call(call))
 
 
-def _switch(group, clock, own_rank, *, port_class=OwnPort):
-    ports = [
-        port_class(member=RankMember(server=rank, clock=clock)) for rank in group.ranks
+def _switch(group, clock, local_rank, *, client_class=LocalRankClient):
+    clients = [
+        client_class(member=RankMember(server=rank, clock=clock))
+        for rank in group.ranks
     ]
     return GroupSwitch(
-        ports=ports,
-        own=ports[own_rank],
+        clients=clients,
+        local_client=clients[local_rank],
         epoch=group.epoch,
         clock=clock,
         rng=group.rng,
     )
 
 
-async def _play(group, clock, work, seconds, *, pass_s=PASS_S):
-    """Run work while passes and late orders go on; cancel it after a time."""
+async def _simulate(group, clock, work, seconds, *, pass_s=PASS_S):
+    """Run work while passes and late orders are executed; cancel it after a time.
+
+    Returns whether the work completed without an error.
+    """
     task = asyncio.ensure_future(work)
     ends_at = clock.monotonic() + seconds
     pass_at = clock.monotonic() + pass_s
