--- a/packages/magnoliagrade-entry/magnoliagrade_entry/credit_watch.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/credit_watch.py
@@ -3,7 +3,7 @@
 from magnoliagrade.wire import CreditGrant, EngineLoad
 
 from magnoliagrade_entry.handlers import entry_handlers, entry_tasks
-from magnoliagrade_entry.routing.router import TICK_S
+from magnoliagrade_entry.routing.router import TICK_INTERVAL_S
 
 __all__ = ["tick_queues"]
 
@@ -11,25 +11,27 @@
 @entry_handlers.on(CreditGrant)
 async def on_credit_grant(node, link, message):
     """Use credit that an agent granted."""
-    contact = node.endpoints.by_name.get(link.peer_instance)
-    if contact is None or contact.link is not link:
+    handle = node.endpoints.by_name.get(link.peer_instance)
+    if handle is None or handle.link is not link:
         return
-    contact.note_load(limit=message.limit, held=message.held, headroom=message.headroom)
-    node.router.on_grant(contact, message.amount, is_surplus=message.is_surplus)
+    handle.update_load(
+        limit=message.limit, held=message.held, headroom=message.headroom
+    )
+    node.router.on_grant(handle, message.amount, is_surplus=message.is_surplus)
 
 
 @entry_handlers.on(EngineLoad)
 async def on_engine_load(node, link, message):
     """Note an endpoint's load and limit; what it has no room for asks elsewhere."""
     node.endpoints.on_load(link.peer_instance, message)
-    contact = node.endpoints.by_name.get(link.peer_instance)
-    if contact is not None:
-        node.router.on_load(contact)
+    handle = node.endpoints.by_name.get(link.peer_instance)
+    if handle is not None:
+        node.router.on_load(handle)
 
 
 @entry_tasks.register("queues")
 async def tick_queues(node):
     """Refuse and move requests whose wait has become too long."""
     while True:
-        await node.clock.sleep(TICK_S)
+        await node.clock.sleep(TICK_INTERVAL_S)
         node.router.tick()
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/group_watch.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/group_watch.py
@@ -15,17 +15,17 @@
 @entry_handlers.on(GroupState)
 async def on_group_state(node, link, message):
     """Note whether the group behind an agent is complete."""
-    contact = node.endpoints.by_name.get(link.peer_instance)
-    if contact is not None and contact.link is link:
-        note_group_state(node.endpoints.by_name.values(), contact.endpoint, message)
+    handle = node.endpoints.by_name.get(link.peer_instance)
+    if handle is not None and handle.link is link:
+        note_group_state(node.endpoints.by_name.values(), handle.endpoint, message)
 
 
-def note_group_state(contacts, endpoint, message):
+def note_group_state(handles, endpoint, message):
     """Note an agent's word and settle whether its group may take requests.
 
     Parameters
     ----------
-    contacts : iterable of EndpointContact
+    handles : iterable of EndpointHandle
         All endpoints of this data centre.
     endpoint : Endpoint
         The endpoint whose agent spoke.
@@ -42,7 +42,7 @@
     if generation == endpoint.group_generation:
         return
     endpoint.group_generation = generation
-    ranks = [c.endpoint for c in contacts if c.endpoint.group == endpoint.group]
+    ranks = [h.endpoint for h in handles if h.endpoint.group == endpoint.group]
     generations = {rank.group_generation for rank in ranks}
     is_complete = len(generations) == 1 and 0 not in generations
     for rank in ranks:
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/instance.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/instance.py
@@ -20,8 +20,8 @@
 from magnoliagrade_entry.configuration_routes import configuration_routes
 from magnoliagrade_entry.doors import make_caller_door, make_peer_door
 from magnoliagrade_entry.handlers import entry_handlers, entry_tasks
-from magnoliagrade_entry.membership import Departures, KnownInstances, LinkKeeper
-from magnoliagrade_entry.membership.messages import note_listed_departures
+from magnoliagrade_entry.membership import Departures, KnownInstances, LinkManager
+from magnoliagrade_entry.membership.messages import report_listed_departures
 from magnoliagrade_entry.requests import (
     Dispatcher,
     ForwardedBook,
@@ -59,7 +59,7 @@
         "forwarded",
         "instance_list",
         "known",
-        "link_keeper",
+        "link_manager",
         "outcomes",
         "peers",
         "repository",
@@ -103,7 +103,7 @@
         self.forwarded = ForwardedBook(node=self)
         self.outcomes = OutcomeBook()
         self.revocations = Revocations(node=self)
-        self.link_keeper = LinkKeeper(node=self)
+        self.link_manager = LinkManager(node=self)
         self.duty = WatchDuty(node=self)
 
     async def start(self):
@@ -171,8 +171,8 @@
             Seconds since it was read from the platform.
         """
         if self.known.update(instances, age_s=age_s):
-            note_listed_departures(self, instances)
-            self.link_keeper.update()
+            report_listed_departures(self, instances)
+            self.link_manager.update()
 
     def reasons_not_ready(self):
         """Return why this entry should get no requests; empty if ready."""
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/membership/__init__.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/membership/__init__.py
@@ -1,7 +1,7 @@
 """Which instances there are, which are linked, and which are leaving."""
 
 from magnoliagrade_entry.membership.departures import Departures
-from magnoliagrade_entry.membership.keeper import LinkKeeper
+from magnoliagrade_entry.membership.link_manager import LinkManager
 from magnoliagrade_entry.membership.listing import KnownInstances
 from magnoliagrade_entry.membership.selection import (
     remote_link_count,
@@ -11,7 +11,7 @@
 __all__ = [
     "Departures",
     "KnownInstances",
-    "LinkKeeper",
+    "LinkManager",
     "remote_link_count",
     "select_links",
 ]
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/membership/keeper.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/membership/link_manager.py
@@ -8,7 +8,7 @@
 
 from magnoliagrade_entry.membership.selection import select_links
 
-__all__ = ["LinkKeeper"]
+__all__ = ["LinkManager"]
 
 DIALS = Counter(
     "magnoliagrade_link_dials_total", "Attempts to open a link by result", ["result"]
@@ -17,7 +17,7 @@
 FAILURES_UNTIL_UNREACHABLE = 2
 
 
-class LinkKeeper:
+class LinkManager:
     """Keeps a dialling task for each instance that this entry links to.
 
     Parameters
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/membership/messages.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/membership/messages.py
@@ -8,7 +8,7 @@
 from magnoliagrade_entry.handlers import entry_handlers
 from magnoliagrade_entry.membership.departures import notice_of, spread_notice
 
-__all__ = ["note_listed_departures"]
+__all__ = ["report_listed_departures"]
 
 _log = logging.getLogger(__name__)
 
@@ -25,7 +25,7 @@
     spread_notice(node, notice, origin=link.peer_instance)
 
 
-def note_listed_departures(node, instances):
+def report_listed_departures(node, instances):
     """Take the leaving rows of a list and tell the peers and the instance.
 
     Parameters
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/routing/__init__.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/routing/__init__.py
@@ -1,7 +1,7 @@
 """Where a request goes: candidates, policies, placement."""
 
-from magnoliagrade_entry.routing.endpoints import EndpointContact, EndpointDirectory
-from magnoliagrade_entry.routing.peers import PeerContact, PeerDirectory
+from magnoliagrade_entry.routing.endpoints import EndpointDirectory, EndpointHandle
+from magnoliagrade_entry.routing.peers import PeerDirectory, PeerHandle
 from magnoliagrade_entry.routing.policies import RoutingPolicy, routing_policies
 from magnoliagrade_entry.routing.pool_queue import PoolQueue
 from magnoliagrade_entry.routing.router import Placement, Router
@@ -9,9 +9,9 @@
 from magnoliagrade_entry.routing.tickets import Ticket
 
 __all__ = [
-    "EndpointContact",
+    "EndpointHandle",
     "EndpointDirectory",
-    "PeerContact",
+    "PeerHandle",
     "PeerDirectory",
     "Placement",
     "PoolQueue",
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/routing/data_centres.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/routing/data_centres.py
@@ -1,6 +1,6 @@
 """Choice between this data centre and a peer entry of another one."""
 
-from magnoliagrade_entry.routing.peers import PeerContact
+from magnoliagrade_entry.routing.peers import PeerHandle
 
 __all__ = ["RemoteOffers"]
 
@@ -75,7 +75,7 @@
         sent = sent if at == peer.summary_at else 0.0
         self._sent_by_pool_and_peer[key] = (peer.summary_at, sent + request.cost)
 
-    def _remote_wait_s(self, peer: PeerContact, pool, cost):
+    def _remote_wait_s(self, peer: PeerHandle, pool, cost):
         if self._clock.monotonic() - peer.summary_at > SUMMARY_MAX_AGE_S:
             return None
         row = next((p for p in peer.summary.pools if p.pool == pool.name), None)
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/routing/endpoints.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/routing/endpoints.py
@@ -8,10 +8,10 @@
 
 from magnoliagrade_entry.routing.outliers import EndpointHealth
 
-__all__ = ["EndpointContact", "EndpointDirectory"]
+__all__ = ["EndpointHandle", "EndpointDirectory"]
 
 
-class EndpointContact:
+class EndpointHandle:
     """One endpoint, the link to its agent and what the entry sent to it.
 
     Parameters
@@ -34,7 +34,7 @@
         "_clock",
         "_started_at_by_id",
         "asked_by_others",
-        "asked_cost",
+        "requested_cost",
         "asked_surplus",
         "endpoint",
         "headroom",
@@ -54,7 +54,7 @@
         self.held = 0.0
         self.headroom = 0.0
         self.asked_by_others = 0.0
-        self.asked_cost = 0.0
+        self.requested_cost = 0.0
         self.asked_surplus = 0.0
         self.in_flight_cost = 0.0
         self.in_flight_count = 0
@@ -72,12 +72,12 @@
     @property
     def room(self):
         """Return the free credit that no request within a share waits for here."""
-        return self.limit - self.held - self.asked_cost
+        return self.limit - self.held - self.requested_cost
 
     @property
     def load(self):
         """Return what is held and waited for as a fraction of the limit."""
-        return (self.held + self.asked_cost) / max(self.limit, 1.0)
+        return (self.held + self.requested_cost) / max(self.limit, 1.0)
 
     def has_room(self, ticket):
         """Return whether the endpoint can probably grant a request's credit now.
@@ -89,7 +89,7 @@
         room = self.room
         if ticket.is_surplus:
             room -= self.asked_surplus + self.headroom
-        is_counted = ticket.contact is self
+        is_counted = ticket.handle is self
         return room >= (0 if is_counted else ticket.request.cost)
 
     def may_ask(self, ticket):
@@ -100,7 +100,7 @@
         Asking for more would only move the queue to the agent. Requests within a
         share do not wait behind the asks of those above theirs.
         """
-        asked = self.asked_cost + ticket.request.cost
+        asked = self.requested_cost + ticket.request.cost
         if ticket.is_surplus:
             asked += self.asked_surplus
         return asked <= self.limit
@@ -110,7 +110,7 @@
         cost = ticket.request.cost
         self._asking_by_kind.setdefault(_kind(ticket), OrderedDict())[ticket] = True
         self._count_ask(ticket, cost)
-        ticket.contact = self
+        ticket.handle = self
         ticket.asked_at = self._clock.monotonic()
         self.link.send(CreditRequest(wanted=cost, is_surplus=ticket.is_surplus))
 
@@ -154,13 +154,13 @@
             self.held = max(0.0, self.held - amount)
             self.link.send(CreditRequest(unused=amount))
 
-    def note_load(self, *, limit, held, asked=None, headroom=0.0):
+    def update_load(self, *, limit, held, asked=None, headroom=0.0):
         """Take what the agent says of its limit, load and headroom."""
         self.limit = limit
         self.held = held
         self.headroom = headroom
         if asked is not None:
-            own = self.asked_cost + self.asked_surplus
+            own = self.requested_cost + self.asked_surplus
             self.asked_by_others = max(0.0, asked - own)
         self.report_at = self._clock.monotonic()
 
@@ -197,14 +197,14 @@
         if not tickets:
             del self._asking_by_kind[kind]
         self._count_ask(ticket, -ticket.request.cost)
-        ticket.contact = None
+        ticket.handle = None
         return True
 
     def _count_ask(self, ticket, cost):
         if ticket.is_surplus:
             self.asked_surplus += cost
         else:
-            self.asked_cost += cost
+            self.requested_cost += cost
 
 
 def _kind(ticket):
@@ -249,7 +249,7 @@
         if hello.role != Role.AGENT.value:
             return
         self._remove(link.peer_instance)
-        self.by_name[link.peer_instance] = EndpointContact(
+        self.by_name[link.peer_instance] = EndpointHandle(
             endpoint=Endpoint(
                 name=link.peer_instance,
                 data_centre=hello.data_centre,
@@ -264,16 +264,16 @@
 
     def on_link_down(self, link):
         """Remove the endpoint of a link, unless a newer link took its place."""
-        contact = self.by_name.get(link.peer_instance)
-        if contact is not None and contact.link is link:
+        handle = self.by_name.get(link.peer_instance)
+        if handle is not None and handle.link is link:
             self._remove(link.peer_instance)
 
     def on_load(self, name, message):
         """Take an agent's message about its endpoint's load."""
-        contact = self.by_name.get(name)
-        if contact is None:
+        handle = self.by_name.get(name)
+        if handle is None:
             return
-        contact.endpoint.report = LoadReport(
+        handle.endpoint.report = LoadReport(
             boot_id=message.boot_id,
             running=message.running,
             waiting=message.waiting,
@@ -281,7 +281,7 @@
             cache_used=message.cache_used,
             age_s=message.age_seconds,
         )
-        contact.note_load(
+        handle.update_load(
             limit=message.limit,
             held=message.held,
             asked=message.asked,
@@ -298,7 +298,7 @@
 
         Returns
         -------
-        contacts : list of EndpointContact
+        contacts : list of EndpointHandle
             Ready endpoints, by name.
         """
         configuration = self._configuration.in_force
@@ -308,16 +308,16 @@
             return []
         selector = parse_selector(pool.endpoint_selector)
         chosen = []
-        for name, contact in sorted(self.by_name.items()):
-            labels = configuration.labels_of(name, contact.endpoint.labels)
-            if self._may_take_work(contact, labels) and selector.matches(labels):
-                chosen.append(contact)
+        for name, handle in sorted(self.by_name.items()):
+            labels = configuration.labels_of(name, handle.endpoint.labels)
+            if self._may_take_work(handle, labels) and selector.matches(labels):
+                chosen.append(handle)
         return chosen
 
     def _remove(self, name):
-        contact = self.by_name.pop(name, None)
-        if contact is not None and self.on_gone is not None:
-            self.on_gone(contact)
+        handle = self.by_name.pop(name, None)
+        if handle is not None and self.on_gone is not None:
+            self.on_gone(handle)
 
     def _is_data_centre_selected(self, pool):
         data_centre = self._configuration.in_force.data_centre_by_name.get(
@@ -327,8 +327,8 @@
         labels = {"name": self._data_centre, **labels}
         return parse_selector(pool.data_centre_selector).matches(labels)
 
-    def _may_take_work(self, contact, labels):
-        endpoint = contact.endpoint
+    def _may_take_work(self, handle, labels):
+        endpoint = handle.endpoint
         if endpoint.state is not EndpointState.READY:
             return False
         if endpoint.group and not endpoint.is_group_complete:
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/routing/estimates.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/routing/estimates.py
@@ -48,9 +48,9 @@
         """Count a request as placed."""
         self._placed += cost
 
-    def take_token_times(self, contacts):
+    def take_token_times(self, handles):
         """Take the median time for each token that endpoints of the pool show."""
-        times = [c.health.token_s for c in contacts if c.health.samples]
+        times = [h.health.token_s for h in handles if h.health.samples]
         if times:
             self._token_s = statistics.median_low(times)
 
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/routing/outliers.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/routing/outliers.py
@@ -87,7 +87,7 @@
         if self.is_probing:
             self._end_probe(is_fault, token_s)
 
-    def is_out(self):
+    def is_ejected(self):
         """Return whether the endpoint is ejected now."""
         return self._clock.monotonic() < self.out_until
 
@@ -136,19 +136,19 @@
         self.token_s = token_s
 
 
-def without_outliers(contacts, *, on_ejected=None):
+def without_outliers(handles, *, on_ejected=None):
     """Return the contacts of a pool that are not ejected.
 
     Parameters
     ----------
-    contacts : list of EndpointContact
+    contacts : list of EndpointHandle
         Candidates of one pool.
     on_ejected : callable, optional
         Called with the contact and the reason of each new ejection.
 
     Returns
     -------
-    kept : list of EndpointContact
+    kept : list of EndpointHandle
         Never less than two thirds of the contacts, and never none.
 
     Notes
@@ -156,30 +156,30 @@
     Ejecting more than a third would move the load of the ill ones to the rest,
     which may be what made them slow.
     """
-    allowed = int(MAX_EJECTED_FRACTION * len(contacts))
-    out = [c for c in contacts if c.health.is_out()]
+    allowed = int(MAX_EJECTED_FRACTION * len(handles))
+    out = [h for h in handles if h.health.is_ejected()]
     if len(out) < allowed:
-        _eject_worst(contacts, out, on_ejected)
+        _eject_worst(handles, out, on_ejected)
     if len(out) > allowed:
-        out = sorted(out, key=lambda c: c.health.out_until)[len(out) - allowed :]
-    return [c for c in contacts if c not in out and not _is_probed(c)] or contacts
+        out = sorted(out, key=lambda h: h.health.out_until)[len(out) - allowed :]
+    return [h for h in handles if h not in out and not _is_probed(h)] or handles
 
 
-def _is_probed(contact):
-    return contact.health.is_probing and contact.in_flight_count + len(contact.asking())
+def _is_probed(handle):
+    return handle.health.is_probing and handle.in_flight_count + len(handle.asking())
 
 
-def _eject_worst(contacts, out, on_ejected):
-    known = [c.health.token_s for c in contacts if c.health.samples >= MIN_SAMPLES]
+def _eject_worst(handles, out, on_ejected):
+    known = [h.health.token_s for h in handles if h.health.samples >= MIN_SAMPLES]
     typical = statistics.median_low(known) if len(known) > 1 else 0.0
-    rest = [c for c in contacts if c not in out]
-    rest.sort(key=lambda c: (c.health.failures, c.health.token_s), reverse=True)
-    for contact in rest:
-        reason = contact.health.reason_against(typical)
+    rest = [h for h in handles if h not in out]
+    rest.sort(key=lambda h: (h.health.failures, h.health.token_s), reverse=True)
+    for handle in rest:
+        reason = handle.health.reason_against(typical)
         if reason:
-            contact.health.eject(typical)
-            out.append(contact)
+            handle.health.eject(typical)
+            out.append(handle)
             EJECTIONS.labels(reason).inc()
             if on_ejected is not None:
-                on_ejected(contact, reason)
+                on_ejected(handle, reason)
             return
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/routing/peers.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/routing/peers.py
@@ -2,10 +2,10 @@
 
 from magnoliagrade.world import Role
 
-__all__ = ["PeerContact", "PeerDirectory"]
+__all__ = ["PeerHandle", "PeerDirectory"]
 
 
-class PeerContact:
+class PeerHandle:
     """One peer entry and what it last said of its data centre.
 
     Parameters
@@ -64,7 +64,7 @@
         hello = link.hello
         if hello.role != Role.ENTRY.value:
             return
-        self.by_name[link.peer_instance] = PeerContact(
+        self.by_name[link.peer_instance] = PeerHandle(
             name=link.peer_instance,
             data_centre=hello.data_centre,
             data_address=hello.data_address,
@@ -73,8 +73,8 @@
 
     def on_link_down(self, link):
         """Remove the peer of a link, unless a newer link took its place."""
-        contact = self.by_name.get(link.peer_instance)
-        if contact is not None and contact.link is link:
+        handle = self.by_name.get(link.peer_instance)
+        if handle is not None and handle.link is link:
             del self.by_name[link.peer_instance]
 
     def candidates(self, pool):
@@ -87,7 +87,7 @@
 
         Returns
         -------
-        contacts : list of PeerContact
+        contacts : list of PeerHandle
             By name; peers whose summary says that they have no ready endpoint
             are left out.
         """
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/routing/policies.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/routing/policies.py
@@ -16,7 +16,7 @@
     """Function that picks one of several contacts.
 
     Called with `request`, `candidates` (never empty), `pool` and `rng`; returns an
-    `EndpointContact`.
+    `EndpointHandle`.
     """
 
     def __call__(self, *, request, candidates, pool, rng):
@@ -34,7 +34,7 @@
     """Pick the candidate with the least load in its own reports; a baseline."""
     return min(
         candidates,
-        key=lambda c: (c.endpoint.report.tokens_in_flight, c.endpoint.name),
+        key=lambda h: (h.endpoint.report.tokens_in_flight, h.endpoint.name),
     )
 
 
@@ -57,15 +57,15 @@
         return choose_two_choices(
             request=request, candidates=candidates, pool=pool, rng=rng
         )
-    by_name = {c.endpoint.name: c for c in candidates}
+    by_name = {h.endpoint.name: h for h in candidates}
     order = [by_name[n] for n in rendezvous_order(request.prefix_hash, by_name)]
-    for contact in order:
-        if contact.room >= request.cost:
-            return contact
-    bound = LOAD_BOUND * sum(c.load for c in candidates) / len(candidates)
-    for contact in order:
-        if contact.load <= bound:
-            return contact
+    for handle in order:
+        if handle.room >= request.cost:
+            return handle
+    bound = LOAD_BOUND * sum(h.load for h in candidates) / len(candidates)
+    for handle in order:
+        if handle.load <= bound:
+            return handle
     return order[0]
 
 
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/routing/pool_queue.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/routing/pool_queue.py
@@ -149,15 +149,15 @@
         self._publish()
         return ticket
 
-    def bind(self, ticket, contact):
+    def bind(self, ticket, handle):
         """Ask an endpoint for the credit of a waiting request."""
         self._unbound.pop(ticket, None)
-        contact.ask(ticket)
+        handle.ask(ticket)
 
     def unbind(self, ticket):
         """Take back the ask of a waiting request."""
-        if ticket.contact is not None:
-            ticket.contact.withdraw(ticket)
+        if ticket.handle is not None:
+            ticket.handle.withdraw(ticket)
         if ticket.is_waiting:
             self._unbound[ticket] = True
 
@@ -169,12 +169,12 @@
             heads.append(oldest)
         return heads
 
-    def next_for(self, contact, credit, *, asker):
+    def next_for(self, handle, credit, *, asker):
         """Return the request that gets credit of an endpoint.
 
         Parameters
         ----------
-        contact : EndpointContact
+        contact : EndpointHandle
             Endpoint that granted it.
         credit : float
             Cost that may be sent.
@@ -188,9 +188,9 @@
             for i in heads
             if i.cost <= credit
             and i.value.is_surplus <= asker.is_surplus
-            and contact.endpoint.name not in i.value.excluded
+            and handle.endpoint.name not in i.value.excluded
         ]
-        own = [t for t in fitting if t is asker or t.contact is contact]
+        own = [t for t in fitting if t is asker or t.handle is handle]
         return next(iter(own or fitting), asker)
 
     def leave(self, ticket, *, is_served):
@@ -205,8 +205,8 @@
         """
         if ticket.item.is_removed:
             return
-        if ticket.contact is not None:
-            ticket.contact.withdraw(ticket)
+        if ticket.handle is not None:
+            ticket.handle.withdraw(ticket)
         self._unbound.pop(ticket, None)
         if is_served:
             self._fair.take(ticket.item)
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/routing/router.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/routing/router.py
@@ -10,9 +10,9 @@
 from prometheus_client import Counter
 
 from magnoliagrade_entry.routing.data_centres import RemoteOffers
-from magnoliagrade_entry.routing.endpoints import EndpointContact
+from magnoliagrade_entry.routing.endpoints import EndpointHandle
 from magnoliagrade_entry.routing.outliers import without_outliers
-from magnoliagrade_entry.routing.peers import PeerContact
+from magnoliagrade_entry.routing.peers import PeerHandle
 from magnoliagrade_entry.routing.policies import routing_policies
 from magnoliagrade_entry.routing.pool_queue import PoolQueue
 from magnoliagrade_entry.routing.queue_policies import flow_of
@@ -20,7 +20,7 @@
 
 __all__ = ["Placement", "Router"]
 
-TICK_S = 0.05
+TICK_INTERVAL_S = 0.05
 PATIENCE_S = 0.1
 HEADS_SPILLED = 8
 
@@ -38,16 +38,16 @@
 
     Parameters
     ----------
-    endpoint : EndpointContact, optional
+    endpoint : EndpointHandle, optional
         Endpoint of this data centre.
-    peer : PeerContact, optional
+    peer : PeerHandle, optional
         Peer entry of another data centre.
     reason : str
         Why, for logs and traces.
     """
 
-    endpoint: EndpointContact = None
-    peer: PeerContact = None
+    endpoint: EndpointHandle = None
+    peer: PeerHandle = None
     reason: str = ""
 
     @property
@@ -170,50 +170,50 @@
         finally:
             queue.leave(ticket, is_served=False)
 
-    def on_grant(self, contact, amount, *, is_surplus=False):
+    def on_grant(self, handle, amount, *, is_surplus=False):
         """Place what credit of an endpoint allows.
 
         Parameters
         ----------
-        contact : EndpointContact
+        contact : EndpointHandle
             Endpoint whose agent granted it.
         amount : float
             The amount that one request asked for.
         is_surplus : bool
             Whether it asked above its organisation's share.
         """
-        asker = contact.take_ask(amount, is_surplus=is_surplus)
+        asker = handle.take_ask(amount, is_surplus=is_surplus)
         if asker is None:
             return
         queue = self.queue_by_pool[asker.pool]
         queue.unbind(asker)
         pool = self._configuration.in_force.pool_by_name.get(asker.pool)
-        if pool is None or contact not in self._endpoints.candidates(pool):
-            contact.return_credit(amount)
+        if pool is None or handle not in self._endpoints.candidates(pool):
+            handle.return_credit(amount)
             return
-        chosen = queue.next_for(contact, amount, asker=asker)
-        contact.return_credit(amount - chosen.request.cost)
+        chosen = queue.next_for(handle, amount, asker=asker)
+        handle.return_credit(amount - chosen.request.cost)
         queue.leave(chosen, is_served=True)
-        chosen.settle(Placement(endpoint=contact, reason=pool.routing))
+        chosen.settle(Placement(endpoint=handle, reason=pool.routing))
         self._bind_more(pool, queue)
 
-    def on_load(self, contact):
+    def on_load(self, handle):
         """Move asks away from an endpoint that has turned out to have no room.
 
         Parameters
         ----------
-        contact : EndpointContact
+        contact : EndpointHandle
             Endpoint whose agent has told its load.
         """
-        for ticket in contact.asking():
-            if contact.has_room(ticket):
+        for ticket in handle.asking():
+            if handle.has_room(ticket):
                 continue
             pool = self._configuration.in_force.pool_by_name.get(ticket.pool)
             if pool is None:
                 continue
             others = self._candidates(pool, ticket.excluded)
-            others = [c for c in others if c is not contact]
-            if any(c.has_room(ticket) for c in others):
+            others = [h for h in others if h is not handle]
+            if any(h.has_room(ticket) for h in others):
                 queue = self.queue_by_pool[ticket.pool]
                 queue.unbind(ticket)
                 self._bind(ticket, pool, queue, others)
@@ -247,10 +247,10 @@
         return queue
 
     def _candidates(self, pool, excluded):
-        contacts = self._endpoints.candidates(pool)
-        kept = without_outliers(contacts, on_ejected=_log_ejection)
+        handles = self._endpoints.candidates(pool)
+        kept = without_outliers(handles, on_ejected=_log_ejection)
         self._queue_of(pool).estimate.take_token_times(kept)
-        return [c for c in kept if c.endpoint.name not in excluded]
+        return [h for h in kept if h.endpoint.name not in excluded]
 
     def _weight_of(self, organisation):
         found = self._configuration.in_force.organisation_by_name.get(organisation)
@@ -259,23 +259,23 @@
     def _local_wait_s(self, request, pool, queue, candidates):
         if not candidates:
             return float("inf")
-        free = sum(c.free_credit for c in candidates)
+        free = sum(h.free_credit for h in candidates)
         if free - queue.cost >= request.cost:
             return 0.0
         weight = self._weight_of(request.organisation)
         return queue.wait_of(flow_of(request, pool), weight, request.cost)
 
     def _bind(self, ticket, pool, queue, candidates):
-        open_ones = [c for c in candidates if c.may_ask(ticket)]
+        open_ones = [h for h in candidates if h.may_ask(ticket)]
         if not open_ones:
             return
         if ticket.is_surplus:
-            open_ones = [c for c in open_ones if c.has_room(ticket)] or open_ones
+            open_ones = [h for h in open_ones if h.has_room(ticket)] or open_ones
         choose = routing_policies.get(pool.routing)
-        contact = choose(
+        handle = choose(
             request=ticket.request, candidates=open_ones, pool=pool, rng=self._rng
         )
-        queue.bind(ticket, contact)
+        queue.bind(ticket, handle)
 
     def _bind_more(self, pool, queue):
         while True:
@@ -283,23 +283,23 @@
             for ticket in queue.unbound():
                 candidates = self._candidates(pool, ticket.excluded)
                 self._bind(ticket, pool, queue, candidates)
-                bound += ticket.contact is not None
+                bound += ticket.handle is not None
             if not bound:
                 return
 
     def _unbind_stuck(self, pool):
         now = self._clock.monotonic()
         eligible = self._candidates(pool, frozenset())
-        for contact in list(self._endpoints.by_name.values()):
-            for ticket in contact.asking():
+        for handle in list(self._endpoints.by_name.values()):
+            for ticket in handle.asking():
                 if ticket.pool != pool.name:
                     continue
                 is_late = now - ticket.asked_at > PATIENCE_S
                 has_better = any(
-                    c.has_room(ticket) for c in eligible if c is not contact
+                    h.has_room(ticket) for h in eligible if h is not handle
                 )
-                is_beyond = ticket.request.cost > contact.limit
-                is_lost = is_beyond or contact not in eligible
+                is_beyond = ticket.request.cost > handle.limit
+                is_lost = is_beyond or handle not in eligible
                 if is_lost or (is_late and has_better):
                     self.queue_by_pool[pool.name].unbind(ticket)
 
@@ -342,8 +342,8 @@
         PLACEMENTS.labels(pool.name, placement.reason).inc()
         return placement
 
-    def _on_gone(self, contact):
-        for ticket in contact.asking():
+    def _on_gone(self, handle):
+        for ticket in handle.asking():
             self.queue_by_pool[ticket.pool].unbind(ticket)
 
 
@@ -353,12 +353,12 @@
     span.set_attribute("magnoliagrade.is_surplus", ticket.is_surplus)
 
 
-def _log_ejection(contact, reason):
-    health = contact.health
+def _log_ejection(handle, reason):
+    health = handle.health
     log_event(
         _log,
         "endpoint.ejected",
-        endpoint=contact.endpoint.name,
+        endpoint=handle.endpoint.name,
         reason=reason,
         token_s=health.token_s,
         failures=health.failures,
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/routing/summary.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/routing/summary.py
@@ -47,13 +47,13 @@
     """
     rows = []
     for name, pool in sorted(node.configuration.in_force.pool_by_name.items()):
-        contacts = node.endpoints.candidates(pool)
+        handles = node.endpoints.candidates(pool)
         queue = node.router.queue_by_pool.get(name)
         rows.append(
             PoolSummary(
                 pool=name,
-                ready_endpoints=len(contacts),
-                free_credits=sum(c.free_credit for c in contacts),
+                ready_endpoints=len(handles),
+                free_credits=sum(h.free_credit for h in handles),
                 waiting=queue.cost if queue else 0.0,
                 estimated_wait_seconds=queue.wait_s if queue else 0.0,
             )
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/routing/tests/test_router.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/routing/tests/test_router.py
@@ -118,7 +118,7 @@
             router.on_grant(endpoints.by_name["e1"], 200)
         await asyncio.sleep(0)
         assert [t.done() for t in tasks] == [True, False, False, True]
-        assert endpoints.by_name["e1"].asked_cost == 400
+        assert endpoints.by_name["e1"].requested_cost == 400
 
     asyncio.run(main())
 
@@ -153,9 +153,9 @@
     async def main():
         router, endpoints, links = _site(ManualClock(), names=("e1",))
         (task,) = await _start(router, _request(1))
-        contact = endpoints.by_name["e1"]
+        handle = endpoints.by_name["e1"]
         endpoints._departures = SimpleNamespace(is_leaving=lambda *_: True)
-        router.on_grant(contact, 200)
+        router.on_grant(handle, 200)
         await asyncio.sleep(0)
         assert not task.done() and links[0].sent[-1].unused == 200
         task.cancel()
@@ -196,11 +196,11 @@
         for _ in range(10):
             endpoints.by_name[name].health.note("whole", token_s)
     pool = router._configuration.in_force.pool_by_name["p"]
-    names = [c.endpoint.name for c in router._candidates(pool, frozenset())]
+    names = [h.endpoint.name for h in router._candidates(pool, frozenset())]
     assert names == ["e2", "e3"]
     for _ in range(20):
         endpoints.by_name["e2"].health.note("ANSWER_BROKEN", 0.0)
-    names = [c.endpoint.name for c in router._candidates(pool, frozenset())]
+    names = [h.endpoint.name for h in router._candidates(pool, frozenset())]
     assert names == ["e2", "e3"]
 
 
@@ -215,10 +215,10 @@
         await clock.advance(6)
         assert len(router._candidates(pool, frozenset())) == 3
         health.note("whole", 0.5)
-        assert health.is_out()
+        assert health.is_ejected()
         await clock.advance(11)
         health.note("whole", 0.01)
-        assert not health.is_out() and not health.is_probing
+        assert not health.is_ejected() and not health.is_probing
 
     asyncio.run(main())
 
@@ -226,24 +226,24 @@
 def test_credit_within_a_share_never_goes_above_one():
     async def main():
         router, endpoints, (link,) = _site(ManualClock(), names=("e1",), limit=9000)
-        contact = endpoints.by_name["e1"]
+        handle = endpoints.by_name["e1"]
         for i in range(12):
             (task,) = await _start(router, _request(f"first {i}", "large"))
-            router.on_grant(contact, 200)
+            router.on_grant(handle, 200)
             await task
         for name in ("a", "b", "c"):
             (task,) = await _start(router, _request(f"first {name}", name))
-            router.on_grant(contact, 200)
+            router.on_grant(handle, 200)
             await task
         large, small = await _start(
             router, _request("large", "large"), _request("small", "a")
         )
         kinds = [m.is_surplus for m in link.sent[-2:]]
         assert kinds == [True, False]
-        router.on_grant(contact, 200, is_surplus=False)
+        router.on_grant(handle, 200, is_surplus=False)
         await asyncio.sleep(0)
         assert small.done() and not large.done()
-        router.on_grant(contact, 200, is_surplus=True)
+        router.on_grant(handle, 200, is_surplus=True)
         await asyncio.sleep(0)
         assert large.done()
 
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/routing/tickets.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/routing/tickets.py
@@ -27,7 +27,7 @@
         Whether its organisation is above its share.
     item : QueueItem
         Its place in the fair queue.
-    contact : EndpointContact, optional
+    contact : EndpointHandle, optional
         Endpoint that was asked for its credit.
     asked_at : float
         When that was.
@@ -41,7 +41,7 @@
     arrived_at: float = 0.0
     is_surplus: bool = False
     item: QueueItem = None
-    contact: object = None
+    handle: object = None
     asked_at: float = 0.0
     future: asyncio.Future = field(
         default_factory=lambda: asyncio.get_running_loop().create_future()
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/status.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/status.py
@@ -49,18 +49,18 @@
     }
 
 
-def _endpoint_row(contact):
+def _endpoint_row(handle):
     return {
-        "name": contact.endpoint.name,
-        "state": contact.endpoint.state.value,
-        "limit": contact.limit,
-        "held": contact.held,
-        "asked": contact.asked_cost,
-        "token_s": contact.health.token_s,
-        "is_ejected": contact.health.is_out(),
-        "in_flight": contact.in_flight_cost,
-        "boot_id": contact.endpoint.report.boot_id,
-        "labels": contact.endpoint.labels,
+        "name": handle.endpoint.name,
+        "state": handle.endpoint.state.value,
+        "limit": handle.limit,
+        "held": handle.held,
+        "asked": handle.requested_cost,
+        "token_s": handle.health.token_s,
+        "is_ejected": handle.health.is_ejected(),
+        "in_flight": handle.in_flight_cost,
+        "boot_id": handle.endpoint.report.boot_id,
+        "labels": handle.endpoint.labels,
     }
 
 
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/tests/test_group_watch.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/tests/test_group_watch.py
@@ -6,7 +6,7 @@
 from magnoliagrade_entry.group_watch import note_group_state
 
 
-def _contacts():
+def _handles():
     names = ("a", "b", "c")
     groups = ("group", "group", "")
     return [
@@ -15,16 +15,16 @@
     ]
 
 
-def _say(contacts, index, generation, is_complete=True):
+def _say(handles, index, generation, is_complete=True):
     state = GroupState(group="group", generation=generation, is_complete=is_complete)
-    note_group_state(contacts, contacts[index].endpoint, state)
-    return [c.endpoint.is_group_complete for c in contacts]
+    note_group_state(handles, handles[index].endpoint, state)
+    return [h.endpoint.is_group_complete for h in handles]
 
 
 def test_group_is_eligible_only_as_a_whole():
-    contacts = _contacts()
-    assert _say(contacts, 0, 5) == [False, False, False]
-    assert _say(contacts, 1, 5) == [True, True, False]
-    assert _say(contacts, 1, 6) == [False, False, False]
-    assert _say(contacts, 0, 6) == [True, True, False]
-    assert _say(contacts, 0, 6, is_complete=False) == [False, False, False]
+    handles = _handles()
+    assert _say(handles, 0, 5) == [False, False, False]
+    assert _say(handles, 1, 5) == [True, True, False]
+    assert _say(handles, 1, 6) == [False, False, False]
+    assert _say(handles, 0, 6) == [True, True, False]
+    assert _say(handles, 0, 6, is_complete=False) == [False, False, False]
