--- a/packages/magnoliagrade-entry/magnoliagrade_entry/routing/__init__.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Where a request goes: candidates, policies, placement."""
+"""Placement of requests: candidate endpoints, routing policies and the queue."""
 
 from magnoliagrade_entry.routing.endpoints import EndpointDirectory, EndpointHandle
 from magnoliagrade_entry.routing.peers import PeerDirectory, PeerHandle
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/routing/data_centres.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/routing/data_centres.py
@@ -1,17 +1,17 @@
-"""Choice between this data centre and a peer entry of another one."""
+"""Choice between the local data centre and a peer entry of a remote one."""
 
 from magnoliagrade_entry.routing.peers import PeerHandle
 
-__all__ = ["RemoteOffers"]
+__all__ = ["PeerSelector"]
 
-HOP_S = 0.005
+REMOTE_HOP_S = 0.005
 SUMMARY_MAX_AGE_S = 6.0
-WAIT_MARGIN_S = 0.05
-WAIT_RATIO = 1.25
+REMOTE_WAIT_MARGIN_S = 0.05
+REMOTE_WAIT_RATIO = 1.25
 
 
-class RemoteOffers:
-    """What other data centres could take, as far as summaries say.
+class PeerSelector:
+    """Selects the remote peer entry to forward a request to, by estimated wait.
 
     Parameters
     ----------
@@ -20,60 +20,72 @@
     clock : Clock
         Source of time.
     rng : random.Random
-        Source of randomness.
+        Random number generator; breaks ties between peers with equal waits.
     data_centre : str
-        This data centre.
+        Name of the local data centre.
 
     Notes
     -----
-    A summary is up to a second old, and other entries here have read it too. What
-    this entry forwarded since is taken off as often as there are entries here.
+    A summary may be seconds old, and the other local entries have received it too.
+    The cost that this entry has forwarded since the summary is therefore
+    subtracted once for each local entry, on the assumption that each of them
+    forwards as much.
     """
 
-    __slots__ = ("_clock", "_data_centre", "_peers", "_rng", "_sent_by_pool_and_peer")
+    __slots__ = (
+        "_clock",
+        "_data_centre",
+        "_forwarded_by_pool_and_peer",
+        "_peers",
+        "_rng",
+    )
 
     def __init__(self, *, peers, clock, rng, data_centre):
         self._data_centre = data_centre
         self._peers = peers
         self._clock = clock
         self._rng = rng
-        self._sent_by_pool_and_peer = {}
+        self._forwarded_by_pool_and_peer = {}
 
     def choose(self, request, pool, *, excluded, local_wait_s):
-        """Return the peer that a request should go to, or None.
+        """Return the peer to forward a request to, or None to serve it locally.
 
         Parameters
         ----------
         request : Request
             The request; a forwarded one is never forwarded again.
         pool : Pool
-            Its pool.
+            Pool that serves the request.
         excluded : set of str
-            Names of peers that it must not go to.
+            Names of peers that the request must not be forwarded to.
         local_wait_s : float
-            Estimated wait here; infinite if no endpoint takes work.
+            Estimated wait in the local data centre in seconds; infinite if no
+            local endpoint takes work.
         """
         if request.forwarded_from:
             return None
-        offers = []
+        candidates = []
         for peer in self._peers.candidates(pool):
             wait_s = self._remote_wait_s(peer, pool, request.cost)
             if peer.name not in excluded and wait_s is not None:
-                offers.append((wait_s + HOP_S, self._rng.random(), peer))
-        if not offers:
+                candidates.append((wait_s + REMOTE_HOP_S, self._rng.random(), peer))
+        if not candidates:
             return None
-        wait_s, _, peer = min(offers)
-        if local_wait_s <= WAIT_RATIO * wait_s + WAIT_MARGIN_S:
+        wait_s, _, peer = min(candidates)
+        if local_wait_s <= REMOTE_WAIT_RATIO * wait_s + REMOTE_WAIT_MARGIN_S:
             return None
-        self.note_sent(request, pool, peer)
+        self.note_forwarded(request, pool, peer)
         return peer
 
-    def note_sent(self, request, pool, peer):
-        """Count a request as sent since the peer's summary."""
+    def note_forwarded(self, request, pool, peer):
+        """Add a request to the cost forwarded to a peer since its last summary."""
         key = (pool.name, peer.name)
-        at, sent = self._sent_by_pool_and_peer.get(key, (None, 0.0))
-        sent = sent if at == peer.summary_at else 0.0
-        self._sent_by_pool_and_peer[key] = (peer.summary_at, sent + request.cost)
+        at, forwarded_cost = self._forwarded_by_pool_and_peer.get(key, (None, 0.0))
+        forwarded_cost = forwarded_cost if at == peer.summary_at else 0.0
+        self._forwarded_by_pool_and_peer[key] = (
+            peer.summary_at,
+            forwarded_cost + request.cost,
+        )
 
     def _remote_wait_s(self, peer: PeerHandle, pool, cost):
         if self._clock.monotonic() - peer.summary_at > SUMMARY_MAX_AGE_S:
@@ -81,16 +93,24 @@
         row = next((p for p in peer.summary.pools if p.pool == pool.name), None)
         if row is None or not row.ready_endpoints:
             return None
-        at, sent = self._sent_by_pool_and_peer.get((pool.name, peer.name), (None, 0))
-        sent = sent * self._entries_here() if at == peer.summary_at else 0.0
-        # The other entries may go for the same credit before the next summary.
-        spoken_for = sent + row.waiting + cost * len(self._peers.by_name)
-        if row.free_credits - spoken_for >= cost:
+        at, forwarded_cost = self._forwarded_by_pool_and_peer.get(
+            (pool.name, peer.name), (None, 0)
+        )
+        forwarded_cost = (
+            forwarded_cost * self._local_entry_count() if at == peer.summary_at else 0.0
+        )
+        # Every other entry may forward one request of this cost to the same peer
+        # before its next summary.
+        reserved_cost = forwarded_cost + row.waiting + cost * len(self._peers.by_name)
+        if row.free_credits - reserved_cost >= cost:
             return 0.0
-        # The rate is not told; what waits there and its wait give it.
+        # The summary has no service rate: it is derived from the waiting cost and
+        # the estimated wait.
         waiting = max(row.waiting, cost)
-        return max(row.estimated_wait_seconds, WAIT_MARGIN_S) * (1 + sent / waiting)
+        return max(row.estimated_wait_seconds, REMOTE_WAIT_MARGIN_S) * (
+            1 + forwarded_cost / waiting
+        )
 
-    def _entries_here(self):
+    def _local_entry_count(self):
         peers = self._peers.by_name.values()
         return 1 + sum(p.data_centre == self._data_centre for p in peers)
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/routing/endpoints.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/routing/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints of this data centre as the entry knows them."""
+"""Endpoints of the local data centre: their load, credit and eligibility."""
 
 from collections import OrderedDict
 
@@ -12,7 +12,7 @@
 
 
 class EndpointHandle:
-    """One endpoint, the link to its agent and what the entry sent to it.
+    """An endpoint, the link to its agent, and the entry's load accounting for it.
 
     Parameters
     ----------
@@ -23,19 +23,36 @@
     clock : Clock
         Source of time.
 
+    Attributes
+    ----------
+    limit : float
+        Cost that the endpoint may have in progress, as its agent reported.
+    held : float
+        Cost in progress or reserved by granted credit, as the agent reported,
+        minus the cost of the local requests that have ended since.
+    headroom : float
+        Cost that the agent keeps free of requests above a share.
+    requested_cost : float
+        Cost of the local credit requests within a share that are pending.
+    requested_surplus_cost : float
+        Cost of the local credit requests above a share that are pending.
+    requested_by_others : float
+        Cost that other entries have requested, as the agent reported.
+
     Notes
     -----
-    What the agent says of its load is old by the time it is used. The entry adds
-    what it was granted since, and takes off what has ended of its own.
+    A load report is out of date by the time it is used. Each grant therefore
+    updates the load as well, and the entry subtracts the cost of its own requests
+    as they end.
     """
 
     __slots__ = (
-        "_asking_by_kind",
+        "_pending_by_kind",
         "_clock",
         "_started_at_by_id",
-        "asked_by_others",
+        "requested_by_others",
         "requested_cost",
-        "asked_surplus",
+        "requested_surplus_cost",
         "endpoint",
         "headroom",
         "health",
@@ -53,115 +70,134 @@
         self.limit = 0.0
         self.held = 0.0
         self.headroom = 0.0
-        self.asked_by_others = 0.0
+        self.requested_by_others = 0.0
         self.requested_cost = 0.0
-        self.asked_surplus = 0.0
+        self.requested_surplus_cost = 0.0
         self.in_flight_cost = 0.0
         self.in_flight_count = 0
         self.report_at = 0.0
         self.health = EndpointHealth(clock=clock)
         self._clock = clock
-        self._asking_by_kind = {}
+        self._pending_by_kind = {}
         self._started_at_by_id = {}
 
     @property
     def free_credit(self):
-        """Return the cost that the endpoint could probably take now."""
+        """Return the cost that the endpoint can probably accept now, at least 0."""
         return max(0.0, self.limit - self.held)
 
     @property
-    def room(self):
-        """Return the free credit that no request within a share waits for here."""
+    def unrequested_credit(self):
+        """Return the free credit minus the pending credit requests within a share.
+
+        Notes
+        -----
+        Only the local requests are counted. Negative if more is pending than free.
+        """
         return self.limit - self.held - self.requested_cost
 
     @property
     def load(self):
-        """Return what is held and waited for as a fraction of the limit."""
+        """Return the held plus the requested cost as a fraction of the limit."""
         return (self.held + self.requested_cost) / max(self.limit, 1.0)
 
-    def has_room(self, ticket):
-        """Return whether the endpoint can probably grant a request's credit now.
+    def has_capacity_for(self, ticket):
+        """Return whether the endpoint can probably grant a ticket's credit now.
 
         Notes
         -----
-        Requests above a share leave others their headroom.
+        A request above a share must leave the headroom free for requests within
+        one.
         """
-        room = self.room
+        unrequested_credit = self.unrequested_credit
         if ticket.is_surplus:
-            room -= self.asked_surplus + self.headroom
-        is_counted = ticket.handle is self
-        return room >= (0 if is_counted else ticket.request.cost)
+            unrequested_credit -= self.requested_surplus_cost + self.headroom
+        is_counted = ticket.requested_from is self
+        return unrequested_credit >= (0 if is_counted else ticket.request.cost)
 
-    def may_ask(self, ticket):
-        """Return whether asking for a request would keep within the limit.
+    def can_request_credit(self, ticket):
+        """Return whether a ticket's credit request keeps the total within the limit.
 
         Notes
         -----
-        Asking for more would only move the queue to the agent. Requests within a
-        share do not wait behind the asks of those above theirs.
+        Requesting more than the limit would only move the queue to the agent.
+        Credit requests above a share do not count against those within one.
         """
-        asked = self.requested_cost + ticket.request.cost
+        requested = self.requested_cost + ticket.request.cost
         if ticket.is_surplus:
-            asked += self.asked_surplus
-        return asked <= self.limit
+            requested += self.requested_surplus_cost
+        return requested <= self.limit
 
-    def ask(self, ticket):
-        """Ask the agent for the credit of a waiting request."""
+    def request_credit(self, ticket):
+        """Request credit for a waiting ticket from the agent."""
         cost = ticket.request.cost
-        self._asking_by_kind.setdefault(_kind(ticket), OrderedDict())[ticket] = True
-        self._count_ask(ticket, cost)
-        ticket.handle = self
-        ticket.asked_at = self._clock.monotonic()
+        self._pending_by_kind.setdefault(_kind(ticket), OrderedDict())[ticket] = True
+        self._add_requested(ticket, cost)
+        ticket.requested_from = self
+        ticket.requested_at = self._clock.monotonic()
         self.link.send(CreditRequest(wanted=cost, is_surplus=ticket.is_surplus))
 
-    def withdraw(self, ticket):
-        """Take back what was asked for a request."""
-        if self._forget(ticket):
+    def cancel_credit_request(self, ticket):
+        """Cancel a ticket's pending credit request, if there is one."""
+        if self._remove_pending(ticket):
             message = CreditRequest(
                 returned=ticket.request.cost, is_surplus=ticket.is_surplus
             )
             self.link.send(message)
 
-    def take_ask(self, amount, *, is_surplus):
-        """Return the request that asked for a granted amount, or None.
+    def pop_credit_request(self, amount, *, is_surplus):
+        """Remove the oldest credit request that a grant fulfils; return its ticket.
 
         Parameters
         ----------
         amount : float
-            Cost that was asked for.
+            Granted cost, equal to the requested one.
         is_surplus : bool
-            Whether it was asked above a share.
+            Whether the request was above a share.
 
-        Notes
-        -----
-        There is none if the ask was withdrawn while the grant was on its way; the
-        agent has taken the credit back by then.
+        Returns
+        -------
+        ticket : Ticket or None
+            None if the credit request was cancelled before the grant arrived. The
+            agent takes the credit back when it receives the cancellation.
         """
-        tickets = self._asking_by_kind.get((amount, is_surplus))
+        tickets = self._pending_by_kind.get((amount, is_surplus))
         if not tickets:
             return None
         ticket = next(iter(tickets))
-        self._forget(ticket)
+        self._remove_pending(ticket)
         return ticket
 
-    def asking(self):
-        """Return the requests that wait for credit of this endpoint."""
-        return [t for tickets in self._asking_by_kind.values() for t in tickets]
+    def pending_tickets(self):
+        """Return the tickets that have a pending credit request at this endpoint."""
+        return [t for tickets in self._pending_by_kind.values() for t in tickets]
 
     def return_credit(self, amount):
-        """Give granted credit back that nothing uses."""
+        """Return granted but unused credit to the agent."""
         if amount > 0:
             self.held = max(0.0, self.held - amount)
             self.link.send(CreditRequest(unused=amount))
 
     def update_load(self, *, limit, held, asked=None, headroom=0.0):
-        """Take what the agent says of its limit, load and headroom."""
+        """Update the limit, load and headroom from an agent's message.
+
+        Parameters
+        ----------
+        limit : float
+            Cost that the endpoint may have in progress.
+        held : float
+            Cost in progress or reserved by granted credit.
+        asked : float, optional
+            Cost that all entries have requested; None leaves the last value.
+        headroom : float
+            Cost that is kept free of requests above a share.
+        """
         self.limit = limit
         self.held = held
         self.headroom = headroom
         if asked is not None:
-            own = self.requested_cost + self.asked_surplus
-            self.asked_by_others = max(0.0, asked - own)
+            local = self.requested_cost + self.requested_surplus_cost
+            self.requested_by_others = max(0.0, asked - local)
         self.report_at = self._clock.monotonic()
 
     def begin(self, request):
@@ -178,7 +214,7 @@
         request : Request
             The request.
         result : str
-            `whole`, or the code of the attempt's failure.
+            `whole` for a complete response, or the error code of the attempt.
         """
         self.in_flight_cost -= request.cost
         self.in_flight_count -= 1
@@ -188,21 +224,21 @@
         tokens = max(1, request.output_tokens)
         self.health.note(result, (now - started) / tokens)
 
-    def _forget(self, ticket):
+    def _remove_pending(self, ticket):
         kind = _kind(ticket)
-        tickets = self._asking_by_kind.get(kind, {})
+        tickets = self._pending_by_kind.get(kind, {})
         if ticket not in tickets:
             return False
         del tickets[ticket]
         if not tickets:
-            del self._asking_by_kind[kind]
-        self._count_ask(ticket, -ticket.request.cost)
-        ticket.handle = None
+            del self._pending_by_kind[kind]
+        self._add_requested(ticket, -ticket.request.cost)
+        ticket.requested_from = None
         return True
 
-    def _count_ask(self, ticket, cost):
+    def _add_requested(self, ticket, cost):
         if ticket.is_surplus:
-            self.asked_surplus += cost
+            self.requested_surplus_cost += cost
         else:
             self.requested_cost += cost
 
@@ -212,14 +248,14 @@
 
 
 class EndpointDirectory:
-    """Contacts of this data centre by endpoint name.
+    """Handles of the endpoints in the local data centre, by endpoint name.
 
     Parameters
     ----------
     configuration : ConfigurationState
         Configuration in force, for operators' labels.
     data_centre : str
-        This data centre.
+        Name of the local data centre.
     departures : Departures
         Instances that are leaving.
     clock : Clock
@@ -232,7 +268,7 @@
         "_data_centre",
         "_departures",
         "by_name",
-        "on_gone",
+        "on_removed",
     )
 
     def __init__(self, *, configuration, data_centre, departures, clock):
@@ -241,10 +277,10 @@
         self._data_centre = data_centre
         self._clock = clock
         self.by_name = {}
-        self.on_gone = None
+        self.on_removed = None
 
     def on_link_up(self, link):
-        """Enter the endpoint of an agent that a link came up to."""
+        """Add the endpoint of an agent whose link has been established."""
         hello = link.hello
         if hello.role != Role.AGENT.value:
             return
@@ -263,13 +299,13 @@
         )
 
     def on_link_down(self, link):
-        """Remove the endpoint of a link, unless a newer link took its place."""
+        """Remove the endpoint of a link, unless a newer link has replaced it."""
         handle = self.by_name.get(link.peer_instance)
         if handle is not None and handle.link is link:
             self._remove(link.peer_instance)
 
     def on_load(self, name, message):
-        """Take an agent's message about its endpoint's load."""
+        """Update an endpoint's load from its agent's message."""
         handle = self.by_name.get(name)
         if handle is None:
             return
@@ -289,17 +325,18 @@
         )
 
     def candidates(self, pool):
-        """Return the contacts that may be given new work of a pool.
+        """Return the endpoints that may be given new requests of a pool.
 
         Parameters
         ----------
         pool : Pool
-            Pool whose selectors apply.
+            Pool whose selectors are applied.
 
         Returns
         -------
-        contacts : list of EndpointHandle
-            Ready endpoints, by name.
+        handles : list of EndpointHandle
+            Ready endpoints, sorted by name. Empty if the data centre is
+            evacuated or the pool does not select it.
         """
         configuration = self._configuration.in_force
         if configuration.is_data_centre_out(self._data_centre):
@@ -316,8 +353,8 @@
 
     def _remove(self, name):
         handle = self.by_name.pop(name, None)
-        if handle is not None and self.on_gone is not None:
-            self.on_gone(handle)
+        if handle is not None and self.on_removed is not None:
+            self.on_removed(handle)
 
     def _is_data_centre_selected(self, pool):
         data_centre = self._configuration.in_force.data_centre_by_name.get(
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/routing/estimates.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/routing/estimates.py
@@ -1,25 +1,31 @@
-"""Estimates of how fast a pool serves this entry's requests."""
+"""Estimates of the rate at which a pool serves this entry's requests."""
 
 import statistics
 
 __all__ = ["ServiceEstimate"]
 
 RATE_INTERVAL_S = 0.25
-RATE_WEIGHT = 0.25
+RATE_SMOOTHING_FACTOR = 0.25
 
 
 class ServiceEstimate:
-    """Rate at which credit came lately, and time that answers take.
+    """Estimates a pool's placement rate and service time.
 
     Parameters
     ----------
     clock : Clock
         Source of time.
 
+    Attributes
+    ----------
+    rate : float
+        Placed cost per second; an exponential moving average over intervals of
+        0.25 s.
+
     Notes
     -----
-    The rate counts only intervals in which requests waited; otherwise it would
-    show what was asked for and not what could be had.
+    Only intervals in which requests wait can lower the rate. In other intervals
+    the placed cost shows the demand and not the capacity.
 
     Examples
     --------
@@ -35,49 +41,49 @@
     2.0
     """
 
-    __slots__ = ("_clock", "_interval_from", "_placed", "_token_s", "rate")
+    __slots__ = ("_clock", "_interval_started_at", "_placed_cost", "_token_s", "rate")
 
     def __init__(self, *, clock):
         self._clock = clock
-        self._interval_from = clock.monotonic()
-        self._placed = 0.0
+        self._interval_started_at = clock.monotonic()
+        self._placed_cost = 0.0
         self._token_s = 0.0
         self.rate = 0.0
 
     def note_placed(self, cost):
-        """Count a request as placed."""
-        self._placed += cost
+        """Add the cost of a request that was placed to the current interval."""
+        self._placed_cost += cost
 
-    def take_token_times(self, handles):
-        """Take the median time for each token that endpoints of the pool show."""
+    def update_token_time(self, handles):
+        """Set the time per token to the median of the endpoints of the pool."""
         times = [h.health.token_s for h in handles if h.health.samples]
         if times:
             self._token_s = statistics.median_low(times)
 
     def tick(self, *, has_waiting):
-        """End the interval if its time has come.
+        """Update the rate if the current interval has ended.
 
         Parameters
         ----------
         has_waiting : bool
-            Whether requests wait now.
+            Whether requests are waiting.
         """
         now = self._clock.monotonic()
-        length = now - self._interval_from
+        length = now - self._interval_started_at
         if length < RATE_INTERVAL_S:
             return
-        rate = self._placed / length
+        rate = self._placed_cost / length
         if has_waiting and self.rate:
-            self.rate += RATE_WEIGHT * (rate - self.rate)
+            self.rate += RATE_SMOOTHING_FACTOR * (rate - self.rate)
         elif has_waiting or rate > self.rate:
             self.rate = rate
-        self._interval_from = now
-        self._placed = 0.0
+        self._interval_started_at = now
+        self._placed_cost = 0.0
 
     def wait_s(self, cost):
-        """Return the time until a cost has been placed; 0 if unknown."""
+        """Return the seconds until a cost has been placed; 0 if the rate is unknown."""
         return cost / self.rate if self.rate else 0.0
 
     def service_s(self, request):
-        """Return the time that an answer takes once it is placed."""
+        """Return the seconds from a request's placement to its complete response."""
         return self._token_s * max(1, request.output_tokens)
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/routing/peers.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/routing/peers.py
@@ -1,4 +1,4 @@
-"""Peer entries as this entry knows them."""
+"""Peer entries and the latest summaries of their data centres."""
 
 from magnoliagrade.world import Role
 
@@ -6,18 +6,25 @@
 
 
 class PeerHandle:
-    """One peer entry and what it last said of its data centre.
+    """A peer entry, the link to it and the last summary that it sent.
 
     Parameters
     ----------
     name : str
         Name of the peer.
     data_centre : str
-        Its data centre.
+        Name of the peer's data centre.
     data_address : str
-        `host:port` where it takes forwarded requests.
+        `host:port` at which the peer accepts forwarded requests.
     link : Link
-        Link to it.
+        Link to the peer.
+
+    Attributes
+    ----------
+    summary : PeerSummary or None
+        Last summary; None before the first.
+    summary_at : float
+        Monotonic time at which the summary was received.
     """
 
     __slots__ = (
@@ -39,14 +46,14 @@
 
 
 class PeerDirectory:
-    """Contacts of peer entries by name.
+    """Handles of the linked peer entries, by name.
 
     Parameters
     ----------
     configuration : ConfigurationState
         Configuration in force.
     data_centre : str
-        This data centre.
+        Name of the local data centre.
     departures : Departures
         Instances that are leaving.
     """
@@ -60,7 +67,7 @@
         self.by_name = {}
 
     def on_link_up(self, link):
-        """Enter a peer that a link came up to."""
+        """Add a peer entry whose link has been established."""
         hello = link.hello
         if hello.role != Role.ENTRY.value:
             return
@@ -72,13 +79,13 @@
         )
 
     def on_link_down(self, link):
-        """Remove the peer of a link, unless a newer link took its place."""
+        """Remove the peer of a link, unless a newer link has replaced it."""
         handle = self.by_name.get(link.peer_instance)
         if handle is not None and handle.link is link:
             del self.by_name[link.peer_instance]
 
     def candidates(self, pool):
-        """Return peers of other data centres that could serve a pool.
+        """Return the peers in remote data centres that can serve a pool.
 
         Parameters
         ----------
@@ -87,9 +94,10 @@
 
         Returns
         -------
-        contacts : list of PeerHandle
-            By name; peers whose summary says that they have no ready endpoint
-            are left out.
+        handles : list of PeerHandle
+            Sorted by name. Peers without a summary, or whose summary has no ready
+            endpoint of the pool, are skipped; so are leaving peers and evacuated
+            data centres.
         """
         configuration = self._configuration.in_force
         chosen = []
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/routing/policies.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/routing/policies.py
@@ -1,4 +1,4 @@
-"""Routing policies: which endpoint of a pool gets a request."""
+"""Routing policies, which choose the endpoint of a pool for a request."""
 
 from typing import Protocol
 
@@ -7,31 +7,31 @@
 
 __all__ = ["RoutingPolicy", "routing_policies"]
 
-LOAD_BOUND = 1.25
+LOAD_BOUND_RATIO = 1.25
 
 routing_policies = Registry(family="routing policy")
 
 
 class RoutingPolicy(Protocol):
-    """Function that picks one of several contacts.
+    """Function that chooses one of several candidate endpoints.
 
-    Called with `request`, `candidates` (never empty), `pool` and `rng`; returns an
-    `EndpointHandle`.
+    Called with `request`, `candidates` (a list of `EndpointHandle`, never empty),
+    `pool` and `rng`; returns one of the candidates.
     """
 
     def __call__(self, *, request, candidates, pool, rng):
-        """Return the chosen contact."""
+        """Return the chosen candidate."""
 
 
 @routing_policies.register("random")
 def choose_random(*, request, candidates, pool, rng):
-    """Pick any candidate; the plain baseline."""
+    """Return a random candidate; the simplest baseline."""
     return rng.choice(candidates)
 
 
 @routing_policies.register("least-loaded")
 def choose_least_loaded(*, request, candidates, pool, rng):
-    """Pick the candidate with the least load in its own reports; a baseline."""
+    """Return the candidate that reports the fewest tokens in flight; a baseline."""
     return min(
         candidates,
         key=lambda h: (h.endpoint.report.tokens_in_flight, h.endpoint.name),
@@ -40,13 +40,14 @@
 
 @routing_policies.register("prefix-affinity")
 def choose_by_prefix(*, request, candidates, pool, rng):
-    """Pick the first place in rendezvous order that is not overloaded.
+    """Return the first candidate in rendezvous order that is not overloaded.
 
     Notes
     -----
-    A place has room for the request, or its load as a fraction of its limit is at
-    most 1.25 times the mean (bounded load [1]_). Loads are what agents last said,
-    corrected by what this entry was granted, sent and saw end since.
+    A candidate with enough credit for the request comes first. If there is none,
+    the first candidate is taken whose load, as a fraction of its limit, is at most
+    1.25 times the mean (bounded load [1]_). Loads are the agents' last reports,
+    corrected by this entry's grants, pending credit requests and ended requests.
 
     References
     ----------
@@ -60,9 +61,9 @@
     by_name = {h.endpoint.name: h for h in candidates}
     order = [by_name[n] for n in rendezvous_order(request.prefix_hash, by_name)]
     for handle in order:
-        if handle.room >= request.cost:
+        if handle.unrequested_credit >= request.cost:
             return handle
-    bound = LOAD_BOUND * sum(h.load for h in candidates) / len(candidates)
+    bound = LOAD_BOUND_RATIO * sum(h.load for h in candidates) / len(candidates)
     for handle in order:
         if handle.load <= bound:
             return handle
@@ -71,7 +72,7 @@
 
 @routing_policies.register("two-choices")
 def choose_two_choices(*, request, candidates, pool, rng):
-    """Pick the less loaded of two random candidates."""
+    """Return the less loaded of two random candidates."""
     if len(candidates) == 1:
         return candidates[0]
     a, b = rng.sample(candidates, 2)
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/routing/pool_queue.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/routing/pool_queue.py
@@ -1,4 +1,4 @@
-"""The queue of one pool at one entry: who is next when credit appears."""
+"""The fair queue of one pool at one entry: order, limits and deadlines."""
 
 import heapq
 import itertools
@@ -13,16 +13,16 @@
 
 __all__ = ["PoolQueue"]
 
-MAX_WAITING = 2048
+MAX_WAITING_REQUESTS = 2048
 MAX_WAIT_S = 4.0
-HEADS_SEEN = 4
-MIN_FLOW_PLACES = 8
+MAX_FLOWS_CONSIDERED = 4
+MIN_FLOW_WAITING_REQUESTS = 8
 
 QUEUED = Gauge("magnoliagrade_queue_cost", "Cost that waits for credit", ["pool"])
 WAITED = Histogram(
     "magnoliagrade_queue_seconds", "Time from arrival to a placement", ["pool"]
 )
-REFUSALS = Counter(
+REJECTIONS = Counter(
     "magnoliagrade_queue_refusals_total",
     "Requests refused by the queue",
     ["pool", "reason"],
@@ -41,12 +41,13 @@
 
     Notes
     -----
-    Each waiting request may be bound to an endpoint, which is asked for its
-    credit. Credit that arrives goes to the request that fair order puts first;
-    among flows that are equally far it goes to one bound to that endpoint, so that
-    prefix affinity holds without a share being given up. Credit that was asked for
-    within a share never goes to a request above one. At most an endpoint's limit is
-    asked of it; further requests wait unbound.
+    A waiting request may be bound to an endpoint: credit for the request is then
+    requested from the endpoint. Granted credit goes to the request that is first
+    in fair order. Among flows that have received equal service, a request bound to
+    the granting endpoint is preferred, which keeps prefix affinity without taking
+    from a flow's share. Credit requested within a share never goes to a request
+    above one. The credit requested from an endpoint is at most its limit; further
+    requests wait unbound.
     """
 
     __slots__ = (
@@ -79,56 +80,57 @@
 
     @property
     def wait_s(self):
-        """Return the estimated time until the queue's newest request is placed."""
+        """Return the estimated seconds until all waiting requests are placed."""
         return self.estimate.wait_s(self._fair.cost)
 
-    def wait_of(self, flow, weight, cost):
-        """Return the estimated wait of one more request of a flow.
+    def flow_wait_s(self, flow, weight, cost):
+        """Return the estimated wait in seconds of a new request of a flow.
 
         Notes
         -----
-        A flow gets its share of the weights while others wait. The wait for all
-        that is queued would be too low for a large flow, since what smaller ones
-        send later still goes before it.
+        While other flows wait, a flow is served in proportion to its weight. The
+        cost of the whole queue would give too short a wait for a large flow,
+        because later requests of smaller flows are served before it.
         """
         if not self._fair.count:
             return 0.0
         is_new = not self._fair.flow_count(flow)
         weights = self._fair.weight + (weight if is_new else 0.0)
-        own = self._fair.flow_cost(flow) + cost
-        return self.estimate.wait_s(own * weights / weight)
+        flow_cost = self._fair.flow_cost(flow) + cost
+        return self.estimate.wait_s(flow_cost * weights / weight)
 
-    def enter(self, request, *, flow, weight, excluded, is_surplus=False):
-        """Let a request wait, or refuse it at once.
+    def enqueue(self, request, *, flow, weight, excluded, is_surplus=False):
+        """Add a request to the queue and return its ticket, or reject the request.
 
         Parameters
         ----------
         request : Request
             The request.
         flow : str
-            Flow that it belongs to, as a rule its organisation.
+            Flow of the request; its organisation under the default policy.
         weight : float
             Weight of the flow.
         excluded : frozenset of str
-            Endpoints and peers that it must not go to.
+            Names of endpoints and peers that the request must not be sent to.
         is_surplus : bool
             Whether the flow is above its share.
 
         Returns
         -------
         ticket : Ticket
-            Its place.
+            Ticket whose future receives the placement.
 
         Raises
         ------
         MagnoliagradeError
-            `DEADLINE_NOT_RUN` if its deadline cannot be met, `OVERLOADED` if it
-            would wait for too long or too many wait.
+            `DEADLINE_NOT_RUN` if the estimated wait and service time exceed the
+            deadline, `OVERLOADED` if the estimated wait exceeds 4 s or too many
+            requests are waiting.
         """
         now = self._clock.monotonic()
-        wait_s = self.wait_of(flow, weight, request.cost)
+        wait_s = self.flow_wait_s(flow, weight, request.cost)
         self._check_deadline(request, now, wait_s)
-        self._check_room(flow, weight, wait_s)
+        self._check_capacity(flow, weight, wait_s)
         ticket = Ticket(
             request=request,
             pool=self.pool,
@@ -150,63 +152,73 @@
         return ticket
 
     def bind(self, ticket, handle):
-        """Ask an endpoint for the credit of a waiting request."""
+        """Request credit for a waiting ticket from an endpoint."""
         self._unbound.pop(ticket, None)
-        handle.ask(ticket)
+        handle.request_credit(ticket)
 
     def unbind(self, ticket):
-        """Take back the ask of a waiting request."""
-        if ticket.handle is not None:
-            ticket.handle.withdraw(ticket)
+        """Cancel a ticket's credit request; while it waits, it may be bound again."""
+        if ticket.requested_from is not None:
+            ticket.requested_from.cancel_credit_request(ticket)
         if ticket.is_waiting:
             self._unbound[ticket] = True
 
-    def unbound(self):
-        """Return unbound requests to ask for next: the first ones and the oldest."""
-        heads = [t for t in self.waiting(HEADS_SEEN) if t in self._unbound]
+    def next_unbound(self):
+        """Return the tickets to bind next.
+
+        Returns
+        -------
+        tickets : list of Ticket
+            The unbound tickets among the first of each flow in fair order, and the
+            oldest unbound ticket.
+        """
+        heads = [
+            t for t in self.first_waiting(MAX_FLOWS_CONSIDERED) if t in self._unbound
+        ]
         oldest = next(iter(self._unbound), None)
         if oldest is not None and oldest not in heads:
             heads.append(oldest)
         return heads
 
-    def next_for(self, handle, credit, *, asker):
-        """Return the request that gets credit of an endpoint.
+    def select_for_credit(self, handle, credit, *, requester):
+        """Return the ticket that receives granted credit, in fair order.
 
         Parameters
         ----------
-        contact : EndpointHandle
-            Endpoint that granted it.
+        handle : EndpointHandle
+            Endpoint whose agent granted the credit.
         credit : float
-            Cost that may be sent.
-        asker : Ticket
-            The waiting request that the credit was asked for.
+            Granted cost.
+        requester : Ticket
+            Ticket for which the credit was requested; returned if no other ticket
+            fits.
         """
         slack = credit / max(1.0, self._fair.weight)
-        heads = self._fair.heads(HEADS_SEEN, slack=slack)
+        heads = self._fair.heads(MAX_FLOWS_CONSIDERED, slack=slack)
         fitting = [
             i.value
             for i in heads
             if i.cost <= credit
-            and i.value.is_surplus <= asker.is_surplus
+            and i.value.is_surplus <= requester.is_surplus
             and handle.endpoint.name not in i.value.excluded
         ]
-        own = [t for t in fitting if t is asker or t.handle is handle]
-        return next(iter(own or fitting), asker)
+        bound = [t for t in fitting if t is requester or t.requested_from is handle]
+        return next(iter(bound or fitting), requester)
 
-    def leave(self, ticket, *, is_served):
-        """Take a request out of the queue.
+    def remove(self, ticket, *, is_served):
+        """Remove a ticket from the queue and cancel its credit request.
 
         Parameters
         ----------
         ticket : Ticket
-            Its place.
+            Ticket to remove; ignored if removed before.
         is_served : bool
-            Whether it was placed, so that its organisation's turn is over.
+            Whether the request was placed and counts as service of its flow.
         """
         if ticket.item.is_removed:
             return
-        if ticket.handle is not None:
-            ticket.handle.withdraw(ticket)
+        if ticket.requested_from is not None:
+            ticket.requested_from.cancel_credit_request(ticket)
         self._unbound.pop(ticket, None)
         if is_served:
             self._fair.take(ticket.item)
@@ -217,50 +229,53 @@
             self._fair.remove(ticket.item)
         self._publish()
 
-    def refuse_late(self):
-        """Refuse at once what cannot meet its deadline any more."""
+    def reject_expired(self):
+        """Reject the waiting requests that can no longer meet their deadlines."""
         now = self._clock.monotonic()
         while self._by_deadline:
             deadline, _, ticket = self._by_deadline[0]
             if not ticket.item.is_removed:
                 if deadline - self.estimate.service_s(ticket.request) > now:
                     return
-                self.leave(ticket, is_served=False)
-                REFUSALS.labels(self.pool, "deadline").inc()
-                ticket.refuse(self._late(now - ticket.arrived_at))
+                self.remove(ticket, is_served=False)
+                REJECTIONS.labels(self.pool, "deadline").inc()
+                ticket.reject(self._deadline_error(now - ticket.arrived_at))
             heapq.heappop(self._by_deadline)
 
-    def waiting(self, count):
-        """Return the first waiting requests in fair order, one of each flow."""
+    def first_waiting(self, count):
+        """Return the first ticket of each flow in fair order, at most `count`."""
         return [i.value for i in self._fair.heads(count)]
 
     def _check_deadline(self, request, now, wait_s):
         if now + wait_s + self.estimate.service_s(request) <= request.deadline:
             return
-        REFUSALS.labels(self.pool, "deadline").inc()
-        raise self._late(wait_s)
+        REJECTIONS.labels(self.pool, "deadline").inc()
+        raise self._deadline_error(wait_s)
 
-    def _late(self, wait_s):
-        detail = f"{wait_s:.3f} s of waiting leave no time before the deadline"
+    def _deadline_error(self, wait_s):
+        detail = f"a wait of {wait_s:.3f} s leaves no time before the deadline"
         return MagnoliagradeError(
             ErrorKind.DEADLINE_NOT_RUN, detail, retry_after=self._retry_after()
         )
 
-    def _check_room(self, flow, weight, wait_s):
+    def _check_capacity(self, flow, weight, wait_s):
         if wait_s > MAX_WAIT_S:
-            self._refuse("wait", f"the wait would be {wait_s:.1f} s")
-        if self._fair.count >= MAX_WAITING:
-            self._refuse("count", f"{self._fair.count} requests wait")
-        if self._fair.count < MAX_WAITING // 2:
+            self._raise_overloaded("wait", f"the estimated wait is {wait_s:.1f} s")
+        if self._fair.count >= MAX_WAITING_REQUESTS:
+            self._raise_overloaded("count", f"{self._fair.count} requests are waiting")
+        if self._fair.count < MAX_WAITING_REQUESTS // 2:
             return
-        # Beyond half, a flow keeps to its part, so that others find room.
-        own = self._fair.flow_count(flow)
-        part = MAX_WAITING * weight / max(weight, self._fair.weight)
-        if own >= max(MIN_FLOW_PLACES, part / 2):
-            self._refuse("share", f"{own} requests of the organisation wait")
-
-    def _refuse(self, reason, detail):
-        REFUSALS.labels(self.pool, reason).inc()
+        # Once the queue is half full, each flow is limited to half of its share of
+        # the queue, so that other flows can still enter.
+        waiting = self._fair.flow_count(flow)
+        share = MAX_WAITING_REQUESTS * weight / max(weight, self._fair.weight)
+        if waiting >= max(MIN_FLOW_WAITING_REQUESTS, share / 2):
+            self._raise_overloaded(
+                "share", f"{waiting} requests of the organisation are waiting"
+            )
+
+    def _raise_overloaded(self, reason, detail):
+        REJECTIONS.labels(self.pool, reason).inc()
         raise MagnoliagradeError(
             ErrorKind.OVERLOADED, detail, retry_after=self._retry_after()
         )
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/routing/queue_policies.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/routing/queue_policies.py
@@ -1,4 +1,4 @@
-"""Queue policies: which requests share a place in a pool's fair queue."""
+"""Queue policies, which assign requests to the flows of a pool's fair queue."""
 
 from magnoliagrade.registry import Registry
 
@@ -12,13 +12,13 @@
 
 @queue_policies.register("fair")
 def flow_by_organisation(request):
-    """Give each organisation a flow of its own."""
+    """Return the organisation: each organisation has its own flow."""
     return request.organisation
 
 
 @queue_policies.register("first-come")
 def flow_of_all(request):
-    """Serve requests in the order of their arrival; the plain baseline."""
+    """Return one flow for all requests: first come, first served; a baseline."""
     return ""
 
 
@@ -30,8 +30,9 @@
     request : Request
         The request.
     pool : Pool
-        Its pool, whose `option.queue.policy` names the policy; an unknown name
-        counts as the default, so that a slip does not stop the pool.
+        Pool of the request. Its `option.queue.policy` names the policy. An unknown
+        name falls back to the default, so that a mistyped option does not stop the
+        pool.
     """
     name = pool.options.get(QUEUE_OPTION, DEFAULT_POLICY)
     if name not in queue_policies.by_name:
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/routing/router.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/routing/router.py
@@ -9,7 +9,7 @@
 from opentelemetry import trace
 from prometheus_client import Counter
 
-from magnoliagrade_entry.routing.data_centres import RemoteOffers
+from magnoliagrade_entry.routing.data_centres import PeerSelector
 from magnoliagrade_entry.routing.endpoints import EndpointHandle
 from magnoliagrade_entry.routing.outliers import without_outliers
 from magnoliagrade_entry.routing.peers import PeerHandle
@@ -21,8 +21,8 @@
 __all__ = ["Placement", "Router"]
 
 TICK_INTERVAL_S = 0.05
-PATIENCE_S = 0.1
-HEADS_SPILLED = 8
+CREDIT_REQUEST_TIMEOUT_S = 0.1
+MAX_FORWARDED_PER_TICK = 8
 
 PLACEMENTS = Counter(
     "magnoliagrade_placements_total",
@@ -34,16 +34,16 @@
 
 @dataclass(slots=True, kw_only=True)
 class Placement:
-    """Where one attempt goes; exactly one of the contacts is set.
+    """Target of one attempt: either an endpoint or a peer is set.
 
     Parameters
     ----------
     endpoint : EndpointHandle, optional
-        Endpoint of this data centre.
+        Endpoint in the local data centre.
     peer : PeerHandle, optional
-        Peer entry of another data centre.
+        Peer entry in a remote data centre.
     reason : str
-        Why, for logs and traces.
+        Routing policy that chose the endpoint, or `remote`; for logs and metrics.
     """
 
     endpoint: EndpointHandle = None
@@ -57,14 +57,14 @@
 
     @property
     def incarnation(self):
-        """Return the incarnation of the agent or peer that it was chosen as."""
+        """Return the incarnation that the agent or peer had when it was chosen."""
         if self.endpoint:
             return self.endpoint.endpoint.incarnation
         return self.peer.link.peer_incarnation
 
     @property
     def data_address(self):
-        """Return the `host:port` that the attempt is sent to."""
+        """Return the `host:port` to which the attempt is sent."""
         if self.endpoint:
             return self.endpoint.endpoint.data_address
         return self.peer.data_address
@@ -78,22 +78,22 @@
     configuration : ConfigurationState
         Configuration in force.
     endpoints : EndpointDirectory
-        Endpoints of this data centre.
+        Endpoints in the local data centre.
     peers : PeerDirectory
         Peer entries.
     rng : random.Random
-        Source of randomness.
+        Random number generator.
     clock : Clock
         Source of time.
     data_centre : str
-        This data centre.
+        Name of the local data centre.
     """
 
     __slots__ = (
         "_clock",
         "_configuration",
         "_endpoints",
-        "_offers",
+        "_peer_selector",
         "_rng",
         "_usage",
         "queue_by_pool",
@@ -104,28 +104,29 @@
         self._endpoints = endpoints
         self._rng = rng
         self._clock = clock
-        self._offers = RemoteOffers(
+        self._peer_selector = PeerSelector(
             peers=peers, clock=clock, rng=rng, data_centre=data_centre
         )
         self._usage = RecentUsage(clock=clock)
         self.queue_by_pool = {}
-        endpoints.on_gone = self._on_gone
+        endpoints.on_removed = self._on_endpoint_removed
 
     async def place(self, request, *, excluded=frozenset()):
-        """Return where the next attempt of a request goes, once there is room.
+        """Return the placement of a request's next attempt; wait for credit if needed.
 
         Parameters
         ----------
         request : Request
             The request.
         excluded : set of str
-            Names of endpoints and peers that were tried.
+            Names of endpoints and peers that have been tried.
 
         Raises
         ------
         MagnoliagradeError
-            `NO_ROUTE` if no pool serves the request, `NOT_RUN` if nothing in its
-            pool takes work, `DEADLINE_NOT_RUN` or `OVERLOADED` if the wait for
+            `NO_ROUTE` if no pool serves the request, `TOO_LARGE` if its cost
+            exceeds the pool's `full_limit`, `NOT_RUN` if no endpoint of the pool
+            accepts requests, `DEADLINE_NOT_RUN` or `OVERLOADED` if the wait for
             credit would be too long.
         """
         pool = self._pool_of(request)
@@ -138,21 +139,21 @@
         queue = self._queue_of(pool)
         excluded = frozenset(excluded)
         candidates = self._candidates(pool, excluded)
-        peer = self._offers.choose(
+        peer = self._peer_selector.choose(
             request,
             pool,
             excluded=excluded,
             local_wait_s=self._local_wait_s(request, pool, queue, candidates),
         )
         if peer is not None:
-            return self._placed(pool, Placement(peer=peer, reason="remote"))
+            return self._record_placement(pool, Placement(peer=peer, reason="remote"))
         if not candidates:
-            detail = f"pool {pool.name!r} has no endpoint that takes work"
+            detail = f"pool {pool.name!r} has no endpoint that accepts requests"
             raise MagnoliagradeError(ErrorKind.NOT_RUN, detail, retry_after=1)
         weight = self._weight_of(request.organisation)
         flow = flow_of(request, pool)
         self._usage.note(flow, request.cost, weight)
-        ticket = queue.enter(
+        ticket = queue.enqueue(
             request,
             flow=flow,
             weight=weight,
@@ -163,74 +164,74 @@
         try:
             placement = await ticket.future
             _trace_wait(ticket, self._clock.monotonic())
-            return self._placed(pool, placement)
+            return self._record_placement(pool, placement)
         except asyncio.CancelledError:
-            self._return_unused(ticket)
+            self._return_unused_credit(ticket)
             raise
         finally:
-            queue.leave(ticket, is_served=False)
+            queue.remove(ticket, is_served=False)
 
     def on_grant(self, handle, amount, *, is_surplus=False):
-        """Place what credit of an endpoint allows.
+        """Place a waiting request with credit that an agent granted.
 
         Parameters
         ----------
-        contact : EndpointHandle
-            Endpoint whose agent granted it.
+        handle : EndpointHandle
+            Endpoint whose agent granted the credit.
         amount : float
-            The amount that one request asked for.
+            Granted cost, equal to that of one credit request.
         is_surplus : bool
-            Whether it asked above its organisation's share.
+            Whether the credit was requested above an organisation's share.
         """
-        asker = handle.take_ask(amount, is_surplus=is_surplus)
-        if asker is None:
+        requester = handle.pop_credit_request(amount, is_surplus=is_surplus)
+        if requester is None:
             return
-        queue = self.queue_by_pool[asker.pool]
-        queue.unbind(asker)
-        pool = self._configuration.in_force.pool_by_name.get(asker.pool)
+        queue = self.queue_by_pool[requester.pool]
+        queue.unbind(requester)
+        pool = self._configuration.in_force.pool_by_name.get(requester.pool)
         if pool is None or handle not in self._endpoints.candidates(pool):
             handle.return_credit(amount)
             return
-        chosen = queue.next_for(handle, amount, asker=asker)
+        chosen = queue.select_for_credit(handle, amount, requester=requester)
         handle.return_credit(amount - chosen.request.cost)
-        queue.leave(chosen, is_served=True)
+        queue.remove(chosen, is_served=True)
         chosen.settle(Placement(endpoint=handle, reason=pool.routing))
-        self._bind_more(pool, queue)
+        self._bind_unbound(pool, queue)
 
     def on_load(self, handle):
-        """Move asks away from an endpoint that has turned out to have no room.
+        """Move credit requests from an endpoint without free capacity to others.
 
         Parameters
         ----------
-        contact : EndpointHandle
-            Endpoint whose agent has told its load.
+        handle : EndpointHandle
+            Endpoint whose agent has reported its load.
         """
-        for ticket in handle.asking():
-            if handle.has_room(ticket):
+        for ticket in handle.pending_tickets():
+            if handle.has_capacity_for(ticket):
                 continue
             pool = self._configuration.in_force.pool_by_name.get(ticket.pool)
             if pool is None:
                 continue
             others = self._candidates(pool, ticket.excluded)
             others = [h for h in others if h is not handle]
-            if any(h.has_room(ticket) for h in others):
+            if any(h.has_capacity_for(ticket) for h in others):
                 queue = self.queue_by_pool[ticket.pool]
                 queue.unbind(ticket)
                 self._bind(ticket, pool, queue, others)
 
     def tick(self):
-        """Move and refuse requests whose wait has become too long."""
+        """Reject expired requests; rebind or forward those that wait too long."""
         for pool_name, queue in list(self.queue_by_pool.items()):
             queue.estimate.tick(has_waiting=len(queue) > 0)
             if not len(queue):
                 continue
-            queue.refuse_late()
+            queue.reject_expired()
             pool = self._configuration.in_force.pool_by_name.get(pool_name)
             if pool is None:
                 continue
-            self._unbind_stuck(pool)
-            self._spill(pool, queue)
-            self._bind_more(pool, queue)
+            self._unbind_stalled(pool)
+            self._forward_to_peers(pool, queue)
+            self._bind_unbound(pool, queue)
 
     def _pool_of(self, request):
         pool = self._configuration.in_force.pool_of(request.labels)
@@ -249,7 +250,7 @@
     def _candidates(self, pool, excluded):
         handles = self._endpoints.candidates(pool)
         kept = without_outliers(handles, on_ejected=_log_ejection)
-        self._queue_of(pool).estimate.take_token_times(kept)
+        self._queue_of(pool).estimate.update_token_time(kept)
         return [h for h in kept if h.endpoint.name not in excluded]
 
     def _weight_of(self, organisation):
@@ -263,66 +264,69 @@
         if free - queue.cost >= request.cost:
             return 0.0
         weight = self._weight_of(request.organisation)
-        return queue.wait_of(flow_of(request, pool), weight, request.cost)
+        return queue.flow_wait_s(flow_of(request, pool), weight, request.cost)
 
     def _bind(self, ticket, pool, queue, candidates):
-        open_ones = [h for h in candidates if h.may_ask(ticket)]
-        if not open_ones:
+        available = [h for h in candidates if h.can_request_credit(ticket)]
+        if not available:
             return
         if ticket.is_surplus:
-            open_ones = [h for h in open_ones if h.has_room(ticket)] or open_ones
+            available = [
+                h for h in available if h.has_capacity_for(ticket)
+            ] or available
         choose = routing_policies.get(pool.routing)
         handle = choose(
-            request=ticket.request, candidates=open_ones, pool=pool, rng=self._rng
+            request=ticket.request, candidates=available, pool=pool, rng=self._rng
         )
         queue.bind(ticket, handle)
 
-    def _bind_more(self, pool, queue):
+    def _bind_unbound(self, pool, queue):
         while True:
             bound = 0
-            for ticket in queue.unbound():
+            for ticket in queue.next_unbound():
                 candidates = self._candidates(pool, ticket.excluded)
                 self._bind(ticket, pool, queue, candidates)
-                bound += ticket.handle is not None
+                bound += ticket.requested_from is not None
             if not bound:
                 return
 
-    def _unbind_stuck(self, pool):
+    def _unbind_stalled(self, pool):
         now = self._clock.monotonic()
         eligible = self._candidates(pool, frozenset())
         for handle in list(self._endpoints.by_name.values()):
-            for ticket in handle.asking():
+            for ticket in handle.pending_tickets():
                 if ticket.pool != pool.name:
                     continue
-                is_late = now - ticket.asked_at > PATIENCE_S
+                is_overdue = now - ticket.requested_at > CREDIT_REQUEST_TIMEOUT_S
                 has_better = any(
-                    h.has_room(ticket) for h in eligible if h is not handle
+                    h.has_capacity_for(ticket) for h in eligible if h is not handle
                 )
-                is_beyond = ticket.request.cost > handle.limit
-                is_lost = is_beyond or handle not in eligible
-                if is_lost or (is_late and has_better):
+                is_too_large = ticket.request.cost > handle.limit
+                is_unservable = is_too_large or handle not in eligible
+                if is_unservable or (is_overdue and has_better):
                     self.queue_by_pool[pool.name].unbind(ticket)
 
-    def _spill(self, pool, queue):
-        for ticket in queue.waiting(HEADS_SPILLED):
-            peer = self._offers.choose(
+    def _forward_to_peers(self, pool, queue):
+        for ticket in queue.first_waiting(MAX_FORWARDED_PER_TICK):
+            peer = self._peer_selector.choose(
                 ticket.request,
                 pool,
                 excluded=ticket.excluded,
-                local_wait_s=self._waited_s(ticket, pool, queue),
+                local_wait_s=self._queued_wait_s(ticket, pool, queue),
             )
             if peer is None:
                 continue
-            queue.leave(ticket, is_served=False)
+            queue.remove(ticket, is_served=False)
             ticket.settle(Placement(peer=peer, reason="remote"))
 
-    def _waited_s(self, ticket, pool, queue):
-        """Return the estimated wait here of a request that waits already.
+    def _queued_wait_s(self, ticket, pool, queue):
+        """Return the estimated local wait in seconds of a request in the queue.
 
         Notes
         -----
-        Who has waited longer than the estimate shows that the estimate is wrong:
-        what others send goes before a flow above its share.
+        At least the time that the request has waited: if that exceeds the
+        estimate, the estimate is too low. A flow above its share, for example, is
+        overtaken by later requests of other flows.
         """
         if not self._candidates(pool, ticket.excluded):
             return float("inf")
@@ -330,7 +334,7 @@
         return max(queue.wait_s, waited_s)
 
     @staticmethod
-    def _return_unused(ticket):
+    def _return_unused_credit(ticket):
         future = ticket.future
         if future.cancelled() or not future.done() or future.exception():
             return
@@ -338,12 +342,12 @@
         if placement.endpoint is not None:
             placement.endpoint.return_credit(ticket.request.cost)
 
-    def _placed(self, pool, placement):
+    def _record_placement(self, pool, placement):
         PLACEMENTS.labels(pool.name, placement.reason).inc()
         return placement
 
-    def _on_gone(self, handle):
-        for ticket in handle.asking():
+    def _on_endpoint_removed(self, handle):
+        for ticket in handle.pending_tickets():
             self.queue_by_pool[ticket.pool].unbind(ticket)
 
 
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/routing/summary.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/routing/summary.py
@@ -1,4 +1,4 @@
-"""What this data centre could take, as peers are told."""
+"""Summaries of the local pools' free capacity, exchanged with remote peers."""
 
 from magnoliagrade.wire import PeerSummary, PoolSummary
 from magnoliagrade.world import Role
@@ -12,7 +12,7 @@
 
 @entry_tasks.register("peer-summary")
 async def send_peer_summaries(node):
-    """Tell the peers of other data centres what this one could take."""
+    """Send the summary of the local pools to the remote peers about every 2 s."""
     while True:
         pools = summarise_pools(node)
         summary = PeerSummary(data_centre=node.identity.data_centre, pools=pools)
@@ -24,7 +24,7 @@
 
 @entry_handlers.on(PeerSummary)
 async def on_peer_summary(node, link, message):
-    """Note what a peer's data centre could take."""
+    """Store the summary that a peer sent, and the time of its receipt."""
     peer = node.peers.by_name.get(link.peer_instance)
     if peer is not None:
         peer.summary = message
@@ -32,7 +32,7 @@
 
 
 def summarise_pools(node):
-    """Return the summary of each pool in this data centre.
+    """Return the summaries of all pools in the local data centre.
 
     Parameters
     ----------
@@ -42,8 +42,9 @@
     Returns
     -------
     pools : list of PoolSummary
-        By name of pool. Free credits are those of all endpoints together, as far
-        as this entry knows; waiting and the estimated wait are its own queue's.
+        Sorted by the pool's name. `free_credits` is the sum over all endpoints that
+        are linked to this entry; `waiting` and `estimated_wait_seconds` describe
+        the queue of this entry alone.
     """
     rows = []
     for name, pool in sorted(node.configuration.in_force.pool_by_name.items()):
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/routing/tests/test_data_centres.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/routing/tests/test_data_centres.py
@@ -6,7 +6,7 @@
 from magnoliagrade.wire import PeerSummary, PoolSummary
 from magnoliagrade.world import Pool, Request
 
-from magnoliagrade_entry.routing.data_centres import SUMMARY_MAX_AGE_S, RemoteOffers
+from magnoliagrade_entry.routing.data_centres import SUMMARY_MAX_AGE_S, PeerSelector
 
 POOL = Pool(name="p", endpoint_selector="")
 
@@ -27,15 +27,15 @@
     )
 
 
-def _offers(clock, *peers):
+def _make_selector(clock, *peers):
     by_name = {p.name: p for p in peers}
     directory = SimpleNamespace(by_name=by_name, candidates=lambda _: list(peers))
-    return RemoteOffers(
-        peers=directory, clock=clock, rng=random.Random(1), data_centre="here"
+    return PeerSelector(
+        peers=directory, clock=clock, rng=random.Random(1), data_centre="local"
     )
 
 
-def _choose(offers, *, local_wait_s, forwarded_from="", excluded=frozenset()):
+def _choose(selector, *, local_wait_s, forwarded_from="", excluded=frozenset()):
     request = Request(
         id="r",
         organisation="o",
@@ -46,46 +46,47 @@
         output_tokens=100,
         forwarded_from=forwarded_from,
     )
-    peer = offers.choose(request, POOL, excluded=excluded, local_wait_s=local_wait_s)
+    peer = selector.choose(request, POOL, excluded=excluded, local_wait_s=local_wait_s)
     return peer.name if peer else None
 
 
-def test_request_stays_while_the_local_wait_is_about_the_hop():
-    offers = _offers(ManualClock(), _peer("x", free=6000))
-    assert _choose(offers, local_wait_s=0.0) is None
-    assert _choose(offers, local_wait_s=0.05) is None
-    assert _choose(offers, local_wait_s=0.5) == "x"
+def test_request_is_forwarded_only_if_local_wait_exceeds_hop_and_margin():
+    selector = _make_selector(ManualClock(), _peer("x", free=6000))
+    assert _choose(selector, local_wait_s=0.0) is None
+    assert _choose(selector, local_wait_s=0.05) is None
+    assert _choose(selector, local_wait_s=0.5) == "x"
 
 
-def test_shorter_remote_wait_wins_only_beyond_its_margin():
-    offers = _offers(
+def test_peer_is_chosen_only_if_its_wait_is_shorter_by_the_margin():
+    selector = _make_selector(
         ManualClock(),
         _peer("x", wait_s=1.0, waiting=2000),
         _peer("y", wait_s=2.0, waiting=2000),
     )
-    assert _choose(offers, local_wait_s=1.2) is None
-    assert _choose(offers, local_wait_s=1.5) == "x"
-    assert _choose(offers, local_wait_s=float("inf"), excluded={"x"}) == "y"
+    assert _choose(selector, local_wait_s=1.2) is None
+    assert _choose(selector, local_wait_s=1.5) == "x"
+    assert _choose(selector, local_wait_s=float("inf"), excluded={"x"}) == "y"
 
 
 def test_forwarded_request_is_never_forwarded_again():
-    offers = _offers(ManualClock(), _peer("x", free=6000))
+    selector = _make_selector(ManualClock(), _peer("x", free=6000))
     wait = float("inf")
-    assert _choose(offers, local_wait_s=wait, forwarded_from="there") is None
+    assert _choose(selector, local_wait_s=wait, forwarded_from="remote") is None
 
 
-def test_credit_that_was_used_since_the_summary_is_not_counted_again():
-    offers = _offers(ManualClock(), _peer("x", free=1000))
-    # 200 for the other entry leave room for four.
-    chosen = [_choose(offers, local_wait_s=0.06) for _ in range(6)]
+def test_cost_forwarded_since_the_summary_reduces_the_free_credit():
+    selector = _make_selector(ManualClock(), _peer("x", free=1000))
+    # Of the free credit of 1000, 200 are reserved for the other entry's request of
+    # the same cost, which leaves enough for four requests.
+    chosen = [_choose(selector, local_wait_s=0.06) for _ in range(6)]
     assert chosen == ["x"] * 4 + [None] * 2
 
 
-def test_old_summary_is_no_offer():
+def test_peer_with_an_expired_summary_is_not_chosen():
     async def main():
         clock = ManualClock()
-        offers = _offers(clock, _peer("x", free=6000))
+        selector = _make_selector(clock, _peer("x", free=6000))
         await clock.advance(SUMMARY_MAX_AGE_S + 0.1)
-        assert _choose(offers, local_wait_s=float("inf")) is None
+        assert _choose(selector, local_wait_s=float("inf")) is None
 
     asyncio.run(main())
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/routing/tests/test_policies.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/routing/tests/test_policies.py
@@ -8,7 +8,7 @@
     assert routing_policies.names() == sorted(ROUTING_NAMES)
 
 
-def test_unknown_routing_policy_is_refused():
+def test_unknown_routing_policy_is_rejected():
     text = "[pool p]\nendpoint_selector = a=b\nrouting = nonsense\n"
     try:
         parse_configuration(text)
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/routing/tests/test_router.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/routing/tests/test_router.py
@@ -39,22 +39,22 @@
     def send(self, message):
         self.sent.append(message)
 
-    def asked(self):
+    def requested_cost(self):
         return sum(m.wanted - m.returned for m in self.sent)
 
 
-def _site(clock, names=("e1", "e2"), limit=600.0):
+def _make_router(clock, names=("e1", "e2"), limit=600.0):
     configuration = SimpleNamespace(in_force=parse_configuration(CONFIGURATION))
-    where = {
+    common = {
         "configuration": configuration,
         "data_centre": "d",
         "departures": Departures(),
     }
-    endpoints = EndpointDirectory(clock=clock, **where)
+    endpoints = EndpointDirectory(clock=clock, **common)
     router = Router(
         configuration=configuration,
         endpoints=endpoints,
-        peers=PeerDirectory(**where),
+        peers=PeerDirectory(**common),
         rng=random.Random(1),
         clock=clock,
         data_centre="d",
@@ -69,12 +69,12 @@
 def _add_peer(router, clock, free_credits):
     link = _Link("peer")
     link.hello.role = "entry"
-    link.hello.data_centre = "far"
-    peers = router._offers._peers
+    link.hello.data_centre = "remote"
+    peers = router._peer_selector._peers
     peers.on_link_up(link)
     peer = peers.by_name["peer"]
     row = PoolSummary(pool="p", free_credits=free_credits, ready_endpoints=1)
-    peer.summary = PeerSummary(data_centre="far", pools=[row])
+    peer.summary = PeerSummary(data_centre="remote", pools=[row])
     peer.summary_at = clock.monotonic()
 
 
@@ -98,20 +98,20 @@
     return tasks
 
 
-def test_nothing_goes_out_without_credit():
+def test_request_is_placed_only_after_credit_is_granted():
     async def main():
-        router, endpoints, (link,) = _site(ManualClock(), names=("e1",))
+        router, endpoints, (link,) = _make_router(ManualClock(), names=("e1",))
         (task,) = await _start(router, _request(1))
-        assert link.asked() == 200 and not task.done()
+        assert link.requested_cost() == 200 and not task.done()
         router.on_grant(endpoints.by_name["e1"], 200)
         assert (await task).name == "e1"
 
     asyncio.run(main())
 
 
-def test_credit_goes_to_the_organisation_that_is_furthest_back():
+def test_credit_goes_to_the_organisation_with_the_least_service():
     async def main():
-        router, endpoints, _ = _site(ManualClock(), names=("e1",), limit=6000)
+        router, endpoints, _ = _make_router(ManualClock(), names=("e1",), limit=6000)
         requests = [_request(i, "large") for i in range(3)]
         tasks = await _start(router, *requests, _request(9, "small"))
         for _ in range(2):
@@ -123,35 +123,35 @@
     asyncio.run(main())
 
 
-def test_ask_of_a_caller_that_went_is_withdrawn():
+def test_credit_request_is_cancelled_when_the_caller_disconnects():
     async def main():
-        router, endpoints, (link,) = _site(ManualClock(), names=("e1",))
+        router, endpoints, (link,) = _make_router(ManualClock(), names=("e1",))
         (task,) = await _start(router, _request(1))
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
-        assert link.asked() == 0
+        assert link.requested_cost() == 0
         router.on_grant(endpoints.by_name["e1"], 200)
         assert len(router.queue_by_pool["p"]) == 0
 
     asyncio.run(main())
 
 
-def test_asks_move_when_their_endpoint_goes():
+def test_credit_request_moves_when_the_link_of_its_endpoint_is_lost():
     async def main():
-        router, endpoints, links = _site(ManualClock())
+        router, endpoints, links = _make_router(ManualClock())
         await _start(router, _request(1))
-        asked = next(k for k in links if k.asked())
-        other = next(k for k in links if k is not asked)
-        endpoints.on_link_down(asked)
+        first = next(k for k in links if k.requested_cost())
+        other = next(k for k in links if k is not first)
+        endpoints.on_link_down(first)
         router.tick()
-        assert other.asked() == 200
+        assert other.requested_cost() == 200
 
     asyncio.run(main())
 
 
-def test_credit_of_a_leaving_endpoint_is_not_used():
+def test_credit_of_a_leaving_endpoint_is_returned_unused():
     async def main():
-        router, endpoints, links = _site(ManualClock(), names=("e1",))
+        router, endpoints, links = _make_router(ManualClock(), names=("e1",))
         (task,) = await _start(router, _request(1))
         handle = endpoints.by_name["e1"]
         endpoints._departures = SimpleNamespace(is_leaving=lambda *_: True)
@@ -163,10 +163,10 @@
     asyncio.run(main())
 
 
-def test_request_is_refused_when_its_deadline_is_out_of_reach():
+def test_waiting_request_is_rejected_once_its_deadline_cannot_be_met():
     async def main():
         clock = ManualClock()
-        router, _, _ = _site(clock, names=("e1",))
+        router, _, _ = _make_router(clock, names=("e1",))
         (task,) = await _start(router, _request(1, deadline=1.0))
         await clock.advance(1.1)
         router.tick()
@@ -177,9 +177,9 @@
     asyncio.run(main())
 
 
-def test_request_that_no_endpoint_bears_is_refused_at_once():
+def test_request_with_a_cost_above_the_full_limit_is_rejected_at_once():
     async def main():
-        router, _, _ = _site(ManualClock())
+        router, _, _ = _make_router(ManualClock())
         try:
             await router.place(_request(1, cost=6001))
         except MagnoliagradeError as exc:
@@ -189,9 +189,9 @@
     assert asyncio.run(main()) is ErrorKind.TOO_LARGE
 
 
-def test_outlier_is_left_out_but_never_more_than_a_third():
+def test_outlier_is_ejected_but_at_most_a_third_of_the_endpoints():
     clock = ManualClock()
-    router, endpoints, _ = _site(clock, names=("e1", "e2", "e3"))
+    router, endpoints, _ = _make_router(clock, names=("e1", "e2", "e3"))
     for name, token_s in (("e1", 0.2), ("e2", 0.01), ("e3", 0.01)):
         for _ in range(10):
             endpoints.by_name[name].health.note("whole", token_s)
@@ -204,10 +204,10 @@
     assert names == ["e2", "e3"]
 
 
-def test_ejected_endpoint_comes_back_by_a_good_probe():
+def test_ejected_endpoint_is_readmitted_after_a_successful_probe():
     async def main():
         clock = ManualClock()
-        router, endpoints, _ = _site(clock, names=("e1", "e2", "e3"))
+        router, endpoints, _ = _make_router(clock, names=("e1", "e2", "e3"))
         health = endpoints.by_name["e1"].health
         health.eject(0.01)
         pool = router._configuration.in_force.pool_by_name["p"]
@@ -223,9 +223,11 @@
     asyncio.run(main())
 
 
-def test_credit_within_a_share_never_goes_above_one():
+def test_credit_requested_within_a_share_is_not_used_above_a_share():
     async def main():
-        router, endpoints, (link,) = _site(ManualClock(), names=("e1",), limit=9000)
+        router, endpoints, (link,) = _make_router(
+            ManualClock(), names=("e1",), limit=9000
+        )
         handle = endpoints.by_name["e1"]
         for i in range(12):
             (task,) = await _start(router, _request(f"first {i}", "large"))
@@ -250,51 +252,51 @@
     asyncio.run(main())
 
 
-def test_ask_moves_at_once_from_an_endpoint_that_says_it_is_full():
+def test_credit_request_moves_when_its_endpoint_reports_that_it_is_full():
     async def main():
-        router, endpoints, links = _site(ManualClock())
+        router, endpoints, links = _make_router(ManualClock())
         await _start(router, _request(1))
-        asked = next(k for k in links if k.asked())
-        other = next(k for k in links if k is not asked)
+        first = next(k for k in links if k.requested_cost())
+        other = next(k for k in links if k is not first)
         load = EngineLoad(limit=600, held=600)
-        endpoints.on_load(asked.peer_instance, load)
-        router.on_load(endpoints.by_name[asked.peer_instance])
-        assert (asked.asked(), other.asked()) == (0, 200)
+        endpoints.on_load(first.peer_instance, load)
+        router.on_load(endpoints.by_name[first.peer_instance])
+        assert (first.requested_cost(), other.requested_cost()) == (0, 200)
         endpoints.on_load(other.peer_instance, load)
         router.on_load(endpoints.by_name[other.peer_instance])
-        assert (asked.asked(), other.asked()) == (0, 200)
+        assert (first.requested_cost(), other.requested_cost()) == (0, 200)
 
     asyncio.run(main())
 
 
-def test_waiting_request_goes_to_a_peer_when_its_last_endpoint_is_gone():
+def test_waiting_request_is_forwarded_when_no_local_endpoint_is_left():
     async def main():
         clock = ManualClock()
-        router, endpoints, links = _site(clock, names=("e1",), limit=600.0)
+        router, endpoints, links = _make_router(clock, names=("e1",), limit=600.0)
         endpoints.on_load("e1", EngineLoad(limit=600.0, held=600.0))
-        placing = asyncio.create_task(router.place(_request(1)))
+        task = asyncio.create_task(router.place(_request(1)))
         await asyncio.sleep(0)
         endpoints.on_link_down(links[0])
         _add_peer(router, clock, free_credits=1000.0)
         router.tick()
-        placement = await asyncio.wait_for(placing, 5)
+        placement = await asyncio.wait_for(task, 5)
         assert placement.peer.name == "peer"
 
     asyncio.run(main())
 
 
-def test_request_that_waited_beyond_the_estimate_goes_to_a_peer():
+def test_request_that_waits_longer_than_estimated_is_forwarded():
     async def main():
         clock = ManualClock()
-        router, endpoints, _links = _site(clock, names=("e1",), limit=600.0)
+        router, endpoints, _links = _make_router(clock, names=("e1",), limit=600.0)
         endpoints.on_load("e1", EngineLoad(limit=600.0, held=600.0))
-        placing = asyncio.create_task(router.place(_request(1)))
+        task = asyncio.create_task(router.place(_request(1)))
         await asyncio.sleep(0)
         await clock.advance(0.5)
         endpoints.on_load("e1", EngineLoad(limit=600.0, held=600.0))
         _add_peer(router, clock, free_credits=1000.0)
         router.tick()
-        placement = await asyncio.wait_for(placing, 5)
+        placement = await asyncio.wait_for(task, 5)
         assert placement.peer.name == "peer"
 
     asyncio.run(main())
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/routing/tickets.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/routing/tickets.py
@@ -1,4 +1,4 @@
-"""Requests that wait for a placement."""
+"""Tickets: requests that wait in a queue for their placement."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -11,28 +11,28 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class Ticket:
-    """One request that waits for credit.
+    """A request that waits for credit, and the future of its placement.
 
     Parameters
     ----------
     request : Request
         The request.
     pool : str
-        Name of its pool.
+        Name of the request's pool.
     excluded : frozenset of str
-        Endpoints and peers that it must not go to.
+        Names of endpoints and peers that the request must not be sent to.
     arrived_at : float
-        Monotonic time of its arrival in the queue.
+        Monotonic time of arrival in the queue.
     is_surplus : bool
-        Whether its organisation is above its share.
+        Whether the request's flow is above its share.
     item : QueueItem
-        Its place in the fair queue.
-    contact : EndpointHandle, optional
-        Endpoint that was asked for its credit.
-    asked_at : float
-        When that was.
+        Item in the fair queue.
+    requested_from : EndpointHandle, optional
+        Endpoint at which a credit request for this ticket is pending.
+    requested_at : float
+        Monotonic time of the last credit request.
     future : asyncio.Future
-        Gets its placement.
+        Receives the placement or the error of a rejection.
     """
 
     request: Request
@@ -41,23 +41,23 @@
     arrived_at: float = 0.0
     is_surplus: bool = False
     item: QueueItem = None
-    handle: object = None
-    asked_at: float = 0.0
+    requested_from: object = None
+    requested_at: float = 0.0
     future: asyncio.Future = field(
         default_factory=lambda: asyncio.get_running_loop().create_future()
     )
 
     @property
     def is_waiting(self):
-        """Whether it has neither a placement nor a refusal."""
+        """Return whether the request is neither placed nor rejected."""
         return not self.future.done()
 
     def settle(self, placement):
-        """Hand the placement over."""
+        """Complete the future with a placement, unless it is done."""
         if not self.future.done():
             self.future.set_result(placement)
 
-    def refuse(self, error):
-        """Hand a refusal over."""
+    def reject(self, error):
+        """Fail the future with the error of a rejection, unless it is done."""
         if not self.future.done():
             self.future.set_exception(error)
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/routing/usage.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/routing/usage.py
@@ -1,13 +1,13 @@
-"""Which organisations use more than their share here."""
+"""Detection of organisations that use more than their share at this entry."""
 
 from collections import OrderedDict
 from dataclasses import dataclass
 
 __all__ = ["RecentUsage"]
 
-HALF_LIFE_S = 10.0
-FORGET_S = 20.0
-SURPLUS_RATIO = 2.0
+USAGE_HALF_LIFE_S = 10.0
+USAGE_RETENTION_S = 20.0
+SURPLUS_SHARE_RATIO = 2.0
 
 
 @dataclass(slots=True, kw_only=True)
@@ -18,7 +18,7 @@
 
 
 class RecentUsage:
-    """Cost that organisations asked for lately, older cost counting less.
+    """Cost requested by each organisation, with exponential decay.
 
     Parameters
     ----------
@@ -27,9 +27,10 @@
 
     Notes
     -----
-    An organisation is above its share when its part of the recent cost exceeds twice
-    its part of the weights of those seen in the last 20 s. O(1) amortised for
-    each request, whatever the number of organisations.
+    An organisation is above its share if its fraction of the decayed cost exceeds
+    twice its fraction of the weights. Only organisations with a request in the last
+    20 s count. O(1) amortised for each request, independent of the number of
+    organisations.
 
     Examples
     --------
@@ -55,16 +56,16 @@
         self._weight = 0.0
 
     def note(self, organisation, cost, weight):
-        """Count a request.
+        """Add the cost of a request to its organisation's usage.
 
         Parameters
         ----------
         organisation : str
-            Whose it is.
+            Organisation, or another flow, that sent the request.
         cost : float
-            What it weighs.
+            Cost of the request.
         weight : float
-            Share of the organisation.
+            Configured share of the organisation.
         """
         now = self._clock.monotonic()
         usage = self._by_organisation.pop(organisation, None)
@@ -72,12 +73,12 @@
             usage = _Usage(weight=0.0, at=now)
         self._weight += weight - usage.weight
         usage.weight = weight
-        usage.cost = _faded(usage.cost, now - usage.at) + cost
+        usage.cost = _decayed(usage.cost, now - usage.at) + cost
         usage.at = now
         self._by_organisation[organisation] = usage
-        self._total = _faded(self._total, now - self._total_at) + cost
+        self._total = _decayed(self._total, now - self._total_at) + cost
         self._total_at = now
-        self._forget(now)
+        self._remove_expired(now)
 
     def is_surplus(self, organisation):
         """Return whether an organisation is above its share."""
@@ -85,18 +86,18 @@
         if usage is None or self._weight <= 0:
             return False
         now = self._clock.monotonic()
-        cost = _faded(usage.cost, now - usage.at)
-        total = _faded(self._total, now - self._total_at)
-        return cost * self._weight > SURPLUS_RATIO * usage.weight * total
+        cost = _decayed(usage.cost, now - usage.at)
+        total = _decayed(self._total, now - self._total_at)
+        return cost * self._weight > SURPLUS_SHARE_RATIO * usage.weight * total
 
-    def _forget(self, now):
+    def _remove_expired(self, now):
         while self._by_organisation:
             name, usage = next(iter(self._by_organisation.items()))
-            if usage.at > now - FORGET_S:
+            if usage.at > now - USAGE_RETENTION_S:
                 return
             del self._by_organisation[name]
             self._weight -= usage.weight
 
 
-def _faded(cost, seconds):
-    return cost * 0.5 ** (seconds / HALF_LIFE_S)
+def _decayed(cost, seconds):
+    return cost * 0.5 ** (seconds / USAGE_HALF_LIFE_S)
