--- a/packages/magnoliagrade-entry/magnoliagrade_entry/membership/__init__.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Which instances there are, which are linked, and which are leaving."""
+"""Membership: known instances, links to them, and departures."""
 
 from magnoliagrade_entry.membership.departures import Departures
 from magnoliagrade_entry.membership.link_manager import LinkManager
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/membership/departures.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/membership/departures.py
@@ -1,4 +1,4 @@
-"""Which incarnations are leaving, whoever said so first."""
+"""Record of the incarnations that are leaving, from all sources of the notice."""
 
 from magnoliagrade.wire import Leaving
 from magnoliagrade.world import InstanceState, Role
@@ -7,74 +7,75 @@
 
 
 class Departures:
-    """Leaving instances by name, each with the incarnation that leaves.
+    """Records which incarnation of each instance is leaving.
 
     Notes
     -----
-    Three sources say that an instance leaves: its own notice, a peer that heard
-    it, and the platform's lagging list. The first one wins. An instance is back
-    only as a newer incarnation, which a link to it shows; a row of the list that
-    still says `leaving` then speaks of the old incarnation.
+    An instance's departure is reported by three sources: its own notice, a notice
+    forwarded by a peer, and the platform's list, which lags behind. The first
+    report takes effect. An instance that returns has a newer incarnation, known
+    from the link to it; a row of the list that is still `leaving` refers to the old
+    incarnation.
     """
 
-    __slots__ = ("_incarnation_by_name", "_listed")
+    __slots__ = ("_incarnation_by_name", "_listed_leaving")
 
     def __init__(self):
         self._incarnation_by_name = {}
-        self._listed = set()
+        self._listed_leaving = set()
 
     def note_leaving(self, name, incarnation):
-        """Note that an incarnation leaves; return whether that is news."""
+        """Record that an incarnation is leaving; return whether that was unknown."""
         if self._incarnation_by_name.get(name) == incarnation:
             return False
         self._incarnation_by_name[name] = incarnation
         return True
 
     def note_listed(self, instances, incarnation_by_name):
-        """Take a list of the platform.
+        """Record the instances that the platform's list newly marks as leaving.
 
         Parameters
         ----------
         instances : iterable of Instance
-            The list.
+            Instances of the platform's list.
         incarnation_by_name : dict of str to int
-            Incarnations that are linked now.
+            Incarnations of the linked instances.
 
         Returns
         -------
-        news : list of str
-            Names of linked instances that the list newly says are leaving.
+        newly_leaving : list of str
+            Names of the linked instances whose departure was unknown, sorted.
         """
         leaving = {i.name for i in instances if i.state is InstanceState.LEAVING}
-        news = []
-        for name in sorted(leaving - self._listed):
+        newly_leaving = []
+        for name in sorted(leaving - self._listed_leaving):
             incarnation = incarnation_by_name.get(name)
             if incarnation is not None and self.note_leaving(name, incarnation):
-                news.append(name)
-        self._listed = leaving
-        return news
+                newly_leaving.append(name)
+        self._listed_leaving = leaving
+        return newly_leaving
 
     def is_leaving(self, name, incarnation):
-        """Return whether an incarnation is known to be leaving."""
+        """Return whether an incarnation has been recorded as leaving."""
         return self._incarnation_by_name.get(name) == incarnation
 
 
-def notice_of(name, incarnation, *, reason):
-    """Return the message that tells others of a leaving instance."""
+def make_leaving_notice(name, incarnation, *, reason):
+    """Return the message that notifies other instances of a departure."""
     return Leaving(subject=name, subject_incarnation=incarnation, reason=reason)
 
 
-def spread_notice(node, notice, *, origin):
-    """Pass a notice on to local peers, who may not have heard it themselves.
+def forward_notice(node, notice, *, origin):
+    """Forward a notice to the local peers, which may not have received it directly.
 
     Parameters
     ----------
     node : EntryInstance
         The entry.
     notice : Leaving
-        Notice with a subject.
+        Notice whose subject is set.
     origin : str
-        Instance that it came from, which need not hear it again.
+        Name of the instance that sent the notice; it is skipped.
     """
     for link in node.links.of_role(Role.ENTRY):
         is_local = link.hello.data_centre == node.identity.data_centre
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/membership/link_manager.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/membership/link_manager.py
@@ -1,4 +1,4 @@
-"""The links that an entry keeps open."""
+"""Maintenance of the links from an entry to other instances."""
 
 import random
 
@@ -13,12 +13,12 @@
 DIALS = Counter(
     "magnoliagrade_link_dials_total", "Attempts to open a link by result", ["result"]
 )
-UNREACHABLE_FOR_S = 10.0
-FAILURES_UNTIL_UNREACHABLE = 2
+UNREACHABLE_PERIOD_S = 10.0
+MIN_FAILURES_FOR_UNREACHABLE = 2
 
 
 class LinkManager:
-    """Keeps a dialling task for each instance that this entry links to.
+    """Runs one dialling task for each instance that this entry keeps a link to.
 
     Parameters
     ----------
@@ -31,7 +31,7 @@
         "_failures_by_name",
         "_node",
         "_task_by_name",
-        "_unreachable_until",
+        "_unreachable_until_by_name",
     )
 
     def __init__(self, *, node):
@@ -39,10 +39,10 @@
         self._task_by_name = {}
         self._address_by_name = {}
         self._failures_by_name = {}
-        self._unreachable_until = {}
+        self._unreachable_until_by_name = {}
 
     def update(self):
-        """Start and stop dialling tasks so that they fit what is known now."""
+        """Start and stop dialling tasks to match the instances that are known."""
         node = self._node
         chosen = select_links(
             node.known.by_name.values(),
@@ -55,25 +55,26 @@
             address = address_by_name.get(name)
             if address == self._address_by_name[name]:
                 continue
-            # A link that stands is left alone: the list may be wrong.
+            # An established link is kept although its instance is not selected any
+            # more, because the list of instances may be wrong.
             if address is None and name in node.links.by_instance:
                 continue
             self._task_by_name.pop(name).cancel()
         for name, address in address_by_name.items():
             if name not in self._task_by_name:
-                self._start(name, address)
+                self._start_dialling(name, address)
 
     def dialled(self):
-        """Return the names of the instances that are being dialled, in order."""
+        """Return the sorted names of the instances that have a dialling task."""
         return sorted(self._task_by_name)
 
-    def _start(self, name, address):
+    def _start_dialling(self, name, address):
         self._address_by_name[name] = address
         self._task_by_name[name] = self._node.tasks.start(
-            self._keep(name, address), name=f"link {name}"
+            self._maintain_link(name, address), name=f"link {name}"
         )
 
-    async def _keep(self, name, address):
+    async def _maintain_link(self, name, address):
         node = self._node
         await keep_linked(
             address=address,
@@ -92,17 +93,19 @@
         DIALS.labels("linked" if linked else "failed").inc()
         if linked:
             self._failures_by_name.pop(name, None)
-            self._unreachable_until.pop(name, None)
+            self._unreachable_until_by_name.pop(name, None)
             return
         failures = self._failures_by_name.get(name, 0) + 1
         self._failures_by_name[name] = failures
         known = self._node.known.by_name.get(name)
         is_peer = known is not None and known.role is Role.ENTRY
-        if is_peer and failures >= FAILURES_UNTIL_UNREACHABLE:
+        if is_peer and failures >= MIN_FAILURES_FOR_UNREACHABLE:
             now = self._node.clock.monotonic()
-            self._unreachable_until[name] = now + UNREACHABLE_FOR_S
+            self._unreachable_until_by_name[name] = now + UNREACHABLE_PERIOD_S
             self.update()
 
     def _unreachable(self):
         now = self._node.clock.monotonic()
-        return {n for n, until in self._unreachable_until.items() if until > now}
+        return {
+            n for n, until in self._unreachable_until_by_name.items() if until > now
+        }
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/membership/listing.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/membership/listing.py
@@ -1,4 +1,4 @@
-"""The list of instances: read from the platform, or asked of a peer."""
+"""The list of instances, read from the platform or requested from a peer."""
 
 import logging
 
@@ -11,30 +11,38 @@
 
 __all__ = ["KnownInstances"]
 
-STALE_AFTER_INTERVALS = 3
-FORGET_AFTER_S = 60.0
+MAX_LIST_AGE_INTERVALS = 3
+INSTANCE_RETENTION_S = 60.0
 _log = logging.getLogger(__name__)
 
 
 class KnownInstances:
-    """Instances that the platform listed, and when.
+    """Instances on the platform's list, and the age of the list.
 
     Parameters
     ----------
     clock : Clock
         Source of time.
 
+    Attributes
+    ----------
+    by_name : dict of str to Instance
+        Known instances.
+    read_at : float or None
+        Monotonic time at which the list was read from the platform; None before
+        the first list.
+
     Notes
     -----
-    The list lags and may be wrong: an instance that is missing from it is
-    remembered for a while, and its link is left alone.
+    The list lags behind and may be wrong. An instance that is missing from it is
+    therefore kept for 60 s, and its link stays open.
     """
 
-    __slots__ = ("_clock", "_seen_at_by_name", "by_name", "read_at")
+    __slots__ = ("_clock", "_last_listed_at_by_name", "by_name", "read_at")
 
     def __init__(self, *, clock):
         self._clock = clock
-        self._seen_at_by_name = {}
+        self._last_listed_at_by_name = {}
         self.by_name = {}
         self.read_at = None
 
@@ -46,19 +54,19 @@
         return self._clock.monotonic() - self.read_at
 
     def update(self, instances, *, age_s=0.0):
-        """Take a list that was read some time ago, unless a newer one is known.
+        """Merge a list of instances, unless the known list is newer.
 
         Parameters
         ----------
         instances : list of Instance
-            The list.
+            Instances of the list.
         age_s : float
-            Seconds since it was read from the platform.
+            Seconds since the list was read from the platform.
 
         Returns
         -------
-        taken : bool
-            Whether it was newer.
+        is_merged : bool
+            Whether the list was newer than the known one and has been merged.
         """
         if age_s >= self.age_s:
             return False
@@ -66,38 +74,38 @@
         self.read_at = now - age_s
         for instance in instances:
             self.by_name[instance.name] = instance
-            self._seen_at_by_name[instance.name] = self.read_at
-        for name, seen_at in list(self._seen_at_by_name.items()):
-            if now - seen_at > FORGET_AFTER_S:
-                del self._seen_at_by_name[name]
+            self._last_listed_at_by_name[instance.name] = self.read_at
+        for name, last_listed_at in list(self._last_listed_at_by_name.items()):
+            if now - last_listed_at > INSTANCE_RETENTION_S:
+                del self._last_listed_at_by_name[name]
                 del self.by_name[name]
         return True
 
 
 @entry_tasks.register("instance-list")
 async def read_instance_list(node):
-    """Read the platform's list again and again; ask a peer when that fails."""
+    """Read the platform's list periodically; on failure, request a peer's list."""
     interval = node.settings.instances_interval_s
     while True:
         try:
             node.take_instances(await node.instance_list.fetch())
         except MagnoliagradeError as exc:
             log_event(_log, "instances.unavailable", detail=exc.detail)
-            if node.known.age_s > STALE_AFTER_INTERVALS * interval:
-                _ask_a_peer(node)
+            if node.known.age_s > MAX_LIST_AGE_INTERVALS * interval:
+                _request_list_from_peer(node)
         await node.clock.sleep(interval * node.rng.uniform(0.8, 1.2))
 
 
-def _ask_a_peer(node):
+def _request_list_from_peer(node):
     links = node.links.of_role(Role.ENTRY)
     if links:
-        age_s = min(node.known.age_s, FORGET_AFTER_S)
+        age_s = min(node.known.age_s, INSTANCE_RETENTION_S)
         node.rng.choice(links).send(InstanceRowsPull(age_seconds=age_s))
 
 
 @entry_handlers.on(InstanceRowsPull)
 async def on_instance_rows_pull(node, link, message):
-    """Answer a peer whose list is older than this entry's."""
+    """Send the list of instances to a peer whose list is older."""
     if node.known.age_s < message.age_seconds:
         rows = [_row(instance) for _, instance in sorted(node.known.by_name.items())]
         link.send(InstanceRows(age_seconds=node.known.age_s, rows=rows))
@@ -105,7 +113,7 @@
 
 @entry_handlers.on(InstanceRows)
 async def on_instance_rows(node, link, message):
-    """Take a peer's list if it is newer."""
+    """Merge a peer's list of instances if it is newer."""
     instances = [_instance(row) for row in message.rows]
     node.take_instances(instances, age_s=message.age_seconds)
 
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/membership/messages.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/membership/messages.py
@@ -1,4 +1,4 @@
-"""Messages about leaving instances."""
+"""Handling and forwarding of notices about leaving instances."""
 
 import logging
 
@@ -6,7 +6,10 @@
 from magnoliagrade.wire import Leaving
 
 from magnoliagrade_entry.handlers import entry_handlers
-from magnoliagrade_entry.membership.departures import notice_of, spread_notice
+from magnoliagrade_entry.membership.departures import (
+    forward_notice,
+    make_leaving_notice,
+)
 
 __all__ = ["report_listed_departures"]
 
@@ -15,29 +18,29 @@
 
 @entry_handlers.on(Leaving)
 async def on_leaving(node, link, message):
-    """Stop giving new work to an instance that leaves, and pass it on."""
+    """Record that an instance is leaving and gets no new work; forward the notice."""
     name = message.subject or link.peer_instance
     incarnation = message.subject_incarnation or link.peer_incarnation
     if not node.departures.note_leaving(name, incarnation):
         return
     log_event(_log, "instance.leaving", subject=name, source=link.peer_instance)
-    notice = notice_of(name, incarnation, reason=message.reason)
-    spread_notice(node, notice, origin=link.peer_instance)
+    notice = make_leaving_notice(name, incarnation, reason=message.reason)
+    forward_notice(node, notice, origin=link.peer_instance)
 
 
 def report_listed_departures(node, instances):
-    """Take the leaving rows of a list and tell the peers and the instance.
+    """Record the departures in a list; notify local peers and the instances.
 
     Parameters
     ----------
     node : EntryInstance
         The entry.
     instances : list of Instance
-        The list.
+        Instances of the platform's list.
     """
     linked = {n: k.peer_incarnation for n, k in node.links.by_instance.items()}
     for name in node.departures.note_listed(instances, linked):
         log_event(_log, "instance.leaving", subject=name, source="platform")
-        notice = notice_of(name, linked[name], reason="listed as leaving")
-        spread_notice(node, notice, origin=name)
+        notice = make_leaving_notice(name, linked[name], reason="listed as leaving")
+        forward_notice(node, notice, origin=name)
         node.links.by_instance[name].send(notice)
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/membership/selection.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/membership/selection.py
@@ -1,4 +1,4 @@
-"""Which instances an entry dials."""
+"""Selection of the instances that an entry dials."""
 
 from collections import defaultdict
 
@@ -7,29 +7,29 @@
 
 __all__ = ["remote_link_count", "select_links"]
 
-REMOTE_LINKS_IN_ALL = 4
+TARGET_REMOTE_LINKS = 4
 
 
 def remote_link_count(data_centres):
-    """Return how many entries of each other data centre an entry dials.
+    """Return the number of entries that an entry dials in each remote data centre.
 
     Parameters
     ----------
     data_centres : int
-        Number of other data centres.
+        Number of remote data centres.
 
     Returns
     -------
     count : int
-        At least 1; few data centres get more links each, so that one dead peer
-        does not hide a whole data centre.
+        At least 1. With few data centres there are several links to each, so that
+        the failure of one peer does not cut off its data centre.
 
     Examples
     --------
     >>> [remote_link_count(n) for n in (1, 2, 9)]
     [4, 2, 1]
     """
-    return max(1, REMOTE_LINKS_IN_ALL // max(1, data_centres))
+    return max(1, TARGET_REMOTE_LINKS // max(1, data_centres))
 
 
 def select_links(instances, *, name, data_centre, unreachable=frozenset()):
@@ -38,39 +38,40 @@
     Parameters
     ----------
     instances : iterable of Instance
-        Instances that are known.
+        Known instances.
     name : str
         Name of this entry.
     data_centre : str
-        Its data centre.
+        Data centre of this entry.
     unreachable : set of str
-        Names of remote entries that did not answer lately; others are preferred.
+        Names of remote entries that recently could not be reached; other entries
+        are preferred.
 
     Returns
     -------
     chosen : list of Instance
-        All agents of the data centre, the local entries whose names sort after
-        this one, and a few entries of each other data centre.
+        All local agents, the local entries whose names sort after this entry's, and
+        `remote_link_count` entries of each remote data centre.
 
     Notes
     -----
-    O(n log n) in the instances. The links of an entry grow with its own data
-    centre and with the number of data centres, not with the fleet. Rendezvous
-    hashing by the entry's own name spreads the remote links evenly and moves few
-    of them when instances come and go.
+    O(n log n) in the number of instances. The number of links depends on the size
+    of the local data centre and on the number of data centres, not on the size of
+    the fleet. Rendezvous hashing by the entry's name distributes the remote links
+    evenly and changes few of them when instances are added or removed.
     """
     chosen = []
-    remote = defaultdict(dict)
+    remote_by_data_centre = defaultdict(dict)
     for instance in instances:
         if instance.name == name or instance.state is InstanceState.LEAVING:
             continue
         if instance.data_centre != data_centre:
             if instance.role is Role.ENTRY:
-                remote[instance.data_centre][instance.name] = instance
+                remote_by_data_centre[instance.data_centre][instance.name] = instance
         elif instance.role is Role.AGENT or name < instance.name:
             chosen.append(instance)
-    count = remote_link_count(len(remote))
-    for _, by_name in sorted(remote.items()):
+    count = remote_link_count(len(remote_by_data_centre))
+    for _, by_name in sorted(remote_by_data_centre.items()):
         order = rendezvous_order(name, by_name)
         order.sort(key=lambda n: n in unreachable)
         chosen += [by_name[n] for n in order[:count]]
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/membership/tests/test_departures.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/membership/tests/test_departures.py
@@ -15,7 +15,7 @@
     ]
 
 
-def test_first_source_wins_and_is_news_once():
+def test_departure_is_reported_as_new_only_once():
     departures = Departures()
     assert departures.note_leaving("x", 1)
     assert not departures.note_leaving("x", 1)
@@ -23,7 +23,7 @@
     assert departures.is_leaving("x", 1)
 
 
-def test_new_incarnation_is_back_although_the_list_lags():
+def test_new_incarnation_is_not_leaving_while_the_list_lags():
     departures = Departures()
     departures.note_listed(_listed(InstanceState.LEAVING), {"x": 1})
     assert departures.is_leaving("x", 1)
@@ -31,14 +31,14 @@
     assert not departures.is_leaving("x", 2)
 
 
-def test_list_that_says_live_does_not_bring_back():
+def test_list_with_state_live_does_not_cancel_a_departure():
     departures = Departures()
     departures.note_leaving("x", 1)
     departures.note_listed(_listed(InstanceState.LIVE), {"x": 1})
     assert departures.is_leaving("x", 1)
 
 
-def test_second_departure_after_coming_back():
+def test_departure_of_a_newer_incarnation_is_reported_as_new():
     departures = Departures()
     departures.note_listed(_listed(InstanceState.LEAVING), {"x": 1})
     departures.note_listed(_listed(InstanceState.LIVE), {"x": 2})
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/membership/tests/test_listing.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/membership/tests/test_listing.py
@@ -12,7 +12,7 @@
     )
 
 
-def test_missing_instance_is_remembered_for_a_while():
+def test_unlisted_instance_is_kept_for_the_retention_period():
     async def main():
         clock = ManualClock()
         known = KnownInstances(clock=clock)
@@ -27,7 +27,7 @@
     asyncio.run(main())
 
 
-def test_older_list_of_a_peer_is_not_taken():
+def test_list_older_than_the_known_one_is_ignored():
     async def main():
         clock = ManualClock()
         known = KnownInstances(clock=clock)
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/membership/tests/test_selection.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/membership/tests/test_selection.py
@@ -22,24 +22,24 @@
     return [i.name for i in chosen]
 
 
-def test_agents_of_other_data_centres_are_left_out():
+def test_agents_of_remote_data_centres_are_not_dialled():
     agents = [_instance("a-agent", Role.AGENT), _instance("b-agent", Role.AGENT)]
     assert _names(agents, "a00") == ["a-agent"]
 
 
-def test_of_two_local_entries_one_dials():
+def test_only_the_first_by_name_of_two_local_entries_dials():
     fleet = _fleet("a", 3)
     assert _names(fleet, "a00") == ["a01", "a02"]
     assert _names(fleet, "a02") == []
 
 
-def test_links_grow_with_data_centres_not_with_the_fleet():
+def test_number_of_remote_links_is_independent_of_the_fleet_size():
     for entries in (5, 39, 200):
         remote = [n for n in _names(_fleet(entries=entries), "a00") if n[0] != "a"]
         assert sorted(n[0] for n in remote) == list("bcdefghij")
 
 
-def test_remote_links_are_spread():
+def test_remote_links_are_evenly_distributed():
     fleet = _fleet()
     dialled = {}
     for i in range(39):
@@ -50,13 +50,13 @@
     assert len(dialled) >= 39 // 2
 
 
-def test_unreachable_and_leaving_entries_are_passed_over():
+def test_unreachable_and_leaving_entries_are_not_selected():
     fleet = _fleet("ab", 8)
     first = [n for n in _names(fleet, "a00") if n[0] == "b"]
     rest = [n for n in _names(fleet, "a00", unreachable={first[0]}) if n[0] == "b"]
     assert first[0] not in rest and first[1] in rest
-    left = [
+    with_leaving = [
         _instance(i.name, state=InstanceState.LEAVING) if i.name == first[0] else i
         for i in fleet
     ]
-    assert first[0] not in _names(left, "a00")
+    assert first[0] not in _names(with_leaving, "a00")
