--- a/packages/magnoliagrade-entry/magnoliagrade_entry/routing/endpoints.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/routing/endpoints.py
@@ -107,7 +107,8 @@
         Notes
         -----
         A request above a share must leave the headroom free for requests within
-        one.
+        one. A credit request of this ticket that is pending here is already part
+        of the requested cost.
         """
         unrequested_credit = self.unrequested_credit
         if ticket.is_surplus:
@@ -207,7 +208,7 @@
         self._started_at_by_id[request.id] = self._clock.monotonic()
 
     def end(self, request, result="whole"):
-        """Count a request as no longer in flight.
+        """Count a request as ended and add its result to the endpoint's health.
 
         Parameters
         ----------
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/routing/pool_queue.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/routing/pool_queue.py
@@ -266,7 +266,7 @@
         if self._fair.count < MAX_WAITING_REQUESTS // 2:
             return
         # Once the queue is half full, each flow is limited to half of its share of
-        # the queue, so that other flows can still enter.
+        # the queue, but not below 8 requests, so that other flows can still enter.
         waiting = self._fair.flow_count(flow)
         share = MAX_WAITING_REQUESTS * weight / max(weight, self._fair.weight)
         if waiting >= max(MIN_FLOW_WAITING_REQUESTS, share / 2):
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/routing/router.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/routing/router.py
@@ -21,6 +21,7 @@
 __all__ = ["Placement", "Router"]
 
 TICK_INTERVAL_S = 0.05
+# A credit request that is pending for longer moves to an endpoint with capacity.
 CREDIT_REQUEST_TIMEOUT_S = 0.1
 MAX_FORWARDED_PER_TICK = 8
 
