--- a/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/credits.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/credits.py
@@ -8,11 +8,11 @@
 from prometheus_client import Counter, Gauge
 
 from magnoliagrade_agent.capacity.continuity import BootContinuity
-from magnoliagrade_agent.capacity.grants import GrantBook
-from magnoliagrade_agent.capacity.residue import Residue
+from magnoliagrade_agent.capacity.grants import GrantTable
+from magnoliagrade_agent.capacity.untracked_work import UntrackedWork
 from magnoliagrade_agent.capacity.work import EndpointWork
 
-__all__ = ["CreditBook"]
+__all__ = ["CreditLedger"]
 
 SURPLUS_HEADROOM = 0.3
 CONFIRM_S = 0.1
@@ -29,7 +29,7 @@
 LIMIT = Gauge("magnoliagrade_limit_cost", "Cost that the endpoint may hold now")
 IN_FLIGHT = Gauge("magnoliagrade_in_flight_cost", "Cost that the endpoint holds")
 RESERVED = Gauge("magnoliagrade_reserved_cost", "Cost granted and not yet used")
-RESIDUE = Gauge("magnoliagrade_residue_cost", "Cost of work nobody follows")
+UNTRACKED_COST = Gauge("magnoliagrade_residue_cost", "Cost of work nobody follows")
 LIMIT_CHANGES = Counter(
     "magnoliagrade_limit_changes_total", "Changes of the limit by reason", ["reason"]
 )
@@ -39,7 +39,7 @@
 _log = logging.getLogger(__name__)
 
 
-class CreditBook:
+class CreditLedger:
     """Work at one endpoint and credit for more, against its limit.
 
     Parameters
@@ -72,7 +72,7 @@
         "in_flight",
         "is_blocked",
         "limit_policy",
-        "on_free",
+        "on_capacity_freed",
         "residue",
     )
 
@@ -87,9 +87,9 @@
         self.in_flight = 0.0
         self.is_blocked = False
         self.continuity = BootContinuity(has_reports=has_reports)
-        self.grants = GrantBook(clock=clock)
-        self.residue = Residue(clock=clock, has_reports=has_reports)
-        self.on_free = None
+        self.grants = GrantTable(clock=clock)
+        self.residue = UntrackedWork(clock=clock, has_reports=has_reports)
+        self.on_capacity_freed = None
 
     @property
     def count_in_flight(self):
@@ -106,7 +106,7 @@
         return min(self.limit_policy.limit, self.limit_policy.cold_limit)
 
     @property
-    def known_limit(self):
+    def advertised_limit(self):
         """Return what the endpoint bears once its boot is proven, for entries."""
         return self.limit_policy.limit if self._is_known else 0.0
 
@@ -143,7 +143,7 @@
         self.residue.lapse()
         if not self._is_known:
             return []
-        self.grants.drop_beyond(self.limit_policy.limit)
+        self.grants.drop_larger_than(self.limit_policy.limit)
         is_idle = not self.held and not self.grants.reserved
         lone_limit = self._lone_limit() if is_idle else 0.0
         return self.grants.distribute(
@@ -165,7 +165,7 @@
         Returns
         -------
         work : EndpointWork
-            What `following` is to be entered with.
+            What `track` is to be entered with.
 
         Raises
         ------
@@ -188,7 +188,7 @@
             await self._clock.sleep(PACE_POLL_S)
 
     @contextlib.contextmanager
-    def following(self, work):
+    def track(self, work):
         """Follow admitted work until it ends, and learn from how it does."""
         try:
             yield work
@@ -202,33 +202,33 @@
                 self._end(work)
                 self._on_ended(work)
             self._publish()
-            if self.on_free is not None:
-                self.on_free()
+            if self.on_capacity_freed is not None:
+                self.on_capacity_freed()
 
     def confirm(self, work):
         """Note that the endpoint has begun to answer."""
         work.confirmed_at = self._clock.monotonic()
         self.continuity.on_confirmed(work.epoch, at=work.confirmed_at)
 
-    def note_part(self, work, part):
+    def note_chunk(self, work, part):
         """Note a part of an answer's body."""
-        work.note_part(part, at=self._clock.monotonic())
+        work.note_chunk(part, at=self._clock.monotonic())
 
-    def on_report(self, report, *, asked_at):
+    def on_report(self, report, *, requested_at):
         """Take a load report of the engine.
 
         Parameters
         ----------
         report : LoadReport
             The report.
-        asked_at : float
+        requested_at : float
             Monotonic time at which it was asked for.
         """
         now = self._clock.monotonic()
-        snapshot_at = asked_at - report.age_s
+        snapshot_at = requested_at - report.age_s
         self._reported_at = snapshot_at
         if self.continuity.on_report(report.boot_id, snapshot_at=snapshot_at):
-            self.drop_to_cold("boot-changed")
+            self.reset_to_cold_limit("boot-changed")
         if not self._is_known and snapshot_at >= self._started_at:
             self._is_known = True
             own = sum(w.cost for w in self._followed.values())
@@ -236,18 +236,18 @@
         self.residue.on_report(
             report.tokens_in_flight,
             self._followed.values(),
-            asked_at=asked_at,
+            requested_at=requested_at,
             answered_at=now,
             age_s=report.age_s,
         )
         self._publish()
 
-    def drop_to_cold(self, reason):
+    def reset_to_cold_limit(self, reason):
         """Drop the limit to the cold one and take unused credit back."""
         before = self.limit_policy.limit
         self.limit_policy.on_cold()
         self.continuity.on_cold()
-        self.grants.void()
+        self.grants.revoke_all()
         self._note_change(before, reason)
 
     def _check_room(self, request, entry):
@@ -319,10 +319,10 @@
         if has_sent:
             self.residue.add(work.cost)
         if work.epoch == self.continuity.epoch:
-            self.drop_to_cold("connection-broken")
+            self.reset_to_cold_limit("connection-broken")
 
     def _on_ended(self, work):
-        if work.is_whole:
+        if work.is_complete:
             self._on_whole(work)
         else:
             self.residue.add(work.cost)
@@ -334,7 +334,7 @@
         before = self.limit_policy.limit
         reason = self.limit_policy.on_completion(work.completion())
         if reason == "first-token-far-off":
-            self.drop_to_cold(reason)
+            self.reset_to_cold_limit(reason)
         elif reason:
             self._note_change(before, reason)
 
@@ -348,4 +348,4 @@
         LIMIT.set(self.limit)
         IN_FLIGHT.set(self.in_flight)
         RESERVED.set(self.grants.reserved)
-        RESIDUE.set(self.residue.cost)
+        UNTRACKED_COST.set(self.residue.cost)
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/grants.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/grants.py
@@ -3,7 +3,7 @@
 from collections import OrderedDict, deque
 from dataclasses import dataclass
 
-__all__ = ["Grant", "GrantBook"]
+__all__ = ["Grant", "GrantTable"]
 
 CREDIT_LEASE_S = 2.0
 CONTENDED_S = 10.0
@@ -32,7 +32,7 @@
     is_surplus: bool = False
 
 
-class GrantBook:
+class GrantTable:
     """Asks of entries and the credit reserved for them.
 
     Parameters
@@ -52,7 +52,7 @@
     Examples
     --------
     >>> from magnoliagrade.clock import ManualClock
-    >>> book = GrantBook(clock=ManualClock())
+    >>> book = GrantTable(clock=ManualClock())
     >>> book.ask("a", 200)
     >>> book.ask("a", 200)
     >>> book.ask("b", 200)
@@ -86,12 +86,12 @@
         return float(sum(self._reserved_by_entry.values()))
 
     @property
-    def asked(self):
+    def requested(self):
         """Return the cost that entries ask for and have not been granted."""
         books = (self._asks_by_entry, self._surplus_by_entry)
         return float(sum(sum(asks) for book in books for asks in book.values()))
 
-    def has_asks(self, entry):
+    def has_pending(self, entry):
         """Return whether an entry has asks that are not granted."""
         return entry in self._asks_by_entry or entry in self._surplus_by_entry
 
@@ -100,7 +100,7 @@
         self._drop_lapsed()
         return self._reserved_by_entry.get(entry, 0.0)
 
-    def ask(self, entry, amount, *, is_surplus=False):
+    def request_credit(self, entry, amount, *, is_surplus=False):
         """Note that an entry asks for credit for one request.
 
         Parameters
@@ -126,7 +126,7 @@
             return
         self.use(entry, amount)
 
-    def forget_asks(self, entry):
+    def drop_pending(self, entry):
         """Drop the asks of an entry whose link is gone; its grants lapse."""
         self._asks_by_entry.pop(entry, None)
         self._surplus_by_entry.pop(entry, None)
@@ -144,7 +144,7 @@
         self._reduce(entry, used)
         return used
 
-    def void(self):
+    def revoke_all(self):
         """Take every reservation back at once."""
         self._grants.clear()
         self._reserved_by_entry.clear()
@@ -182,7 +182,7 @@
         """Whether an ask within a share had to wait lately."""
         return self._clock.monotonic() - self._contended_at < CONTENDED_S
 
-    def drop_beyond(self, limit):
+    def drop_larger_than(self, limit):
         """Drop asks that exceed a limit; entries ask elsewhere when they learn it."""
         for book in (self._asks_by_entry, self._surplus_by_entry):
             for entry, asks in list(book.items()):
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/tests/test_credits.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/tests/test_credits.py
@@ -4,7 +4,7 @@
 from magnoliagrade.errors import ErrorKind, MagnoliagradeError
 from magnoliagrade.world import LoadReport, Request
 
-from magnoliagrade_agent.capacity import CreditBook, EvidenceLimit
+from magnoliagrade_agent.capacity import CreditLedger, EvidenceLimit
 
 
 def _request(cost=200):
@@ -22,7 +22,7 @@
 def _book(clock, *, is_known=True):
     policy = EvidenceLimit()
     policy.configure(cold_limit=600, full_limit=6000, options={})
-    book = CreditBook(limit_policy=policy, clock=clock, has_reports=True)
+    book = CreditLedger(limit_policy=policy, clock=clock, has_reports=True)
     if is_known:
         _report(book, clock)
     return book
@@ -30,7 +30,7 @@
 
 def _report(book, clock, *, boot="boot-1", tokens=0, age_s=0.0):
     report = LoadReport(boot_id=boot, tokens_in_flight=tokens, age_s=age_s)
-    book.on_report(report, asked_at=clock.monotonic())
+    book.on_report(report, requested_at=clock.monotonic())
 
 
 async def _admit_confirmed(book, count):
@@ -91,7 +91,7 @@
         await _admit_confirmed(book, 1)
         await clock.advance(0.5)
         _report(book, clock, tokens=200)
-        book.grants.ask("e", 200)
+        book.grants.request_credit("e", 200)
         book.distribute()
         assert book.grants.reserved == 200
         _report(book, clock, boot="boot-2")
@@ -111,7 +111,7 @@
         _report(book, clock, tokens=600)
         assert book.limit == 6000
         try:
-            with book.following(work):
+            with book.track(work):
                 raise MagnoliagradeError(ErrorKind.ANSWER_BROKEN, "reset")
         except MagnoliagradeError:
             pass
@@ -149,7 +149,7 @@
         book = _book(clock)
         works = await _admit_confirmed(book, 3)
         await clock.advance(0.5)
-        with book.following(works[0]):
+        with book.track(works[0]):
             pass  # ends without a whole answer: the caller went
         assert book.held == 600
         _report(book, clock, tokens=400, age_s=0.1)
@@ -166,11 +166,11 @@
         clock = ManualClock()
         policy = EvidenceLimit()
         policy.configure(cold_limit=2, full_limit=16, options={})
-        book = CreditBook(limit_policy=policy, clock=clock)
+        book = CreditLedger(limit_policy=policy, clock=clock)
         policy.limit = 16.0
         work = await book.admit(_request(1), entry="e")
         try:
-            with book.following(work):
+            with book.track(work):
                 raise MagnoliagradeError(ErrorKind.NOT_RUN, "refused")
         except MagnoliagradeError:
             pass
@@ -198,8 +198,8 @@
 def test_ask_beyond_the_limit_does_not_hold_others_back():
     async def main():
         book = _book(ManualClock(start=100.0))
-        book.grants.ask("a", 700)
-        book.grants.ask("b", 200)
+        book.grants.request_credit("a", 700)
+        book.grants.request_credit("b", 200)
         assert [(g.entry, g.amount) for g in book.distribute()] == [("b", 200)]
 
     asyncio.run(main())
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/tests/test_grants.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/tests/test_grants.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 from magnoliagrade.clock import ManualClock
 
-from magnoliagrade_agent.capacity.grants import CONTENDED_S, CREDIT_LEASE_S, GrantBook
+from magnoliagrade_agent.capacity.grants import CONTENDED_S, CREDIT_LEASE_S, GrantTable
 
 STEPS = st.lists(
     st.tuples(
@@ -24,12 +24,12 @@
 
 async def _grant(steps):
     clock = ManualClock()
-    book = GrantBook(clock=clock)
+    book = GrantTable(clock=clock)
     limit = 600.0
     live = []  # the oracle's own list of (entry, amount left, lapses at)
     for action, entry, amount in steps:
         if action == "ask":
-            book.ask(entry, amount)
+            book.request_credit(entry, amount)
         elif action == "withdraw":
             book.withdraw(entry, amount)
         elif action == "use":
@@ -39,7 +39,7 @@
         elif action == "limit":
             limit = amount * 2.0
         else:
-            book.forget_asks(entry)
+            book.drop_pending(entry)
         reserved = book.reserved
         lone_limit = 0.0 if reserved else 2 * limit
         grants = book.distribute(limit - reserved, lone_limit=lone_limit)
@@ -52,10 +52,10 @@
 
 
 def test_seven_entries_take_turns_at_a_limit_of_one_request():
-    book = GrantBook(clock=ManualClock())
+    book = GrantTable(clock=ManualClock())
     for _ in range(3):
         for entry in range(7):
-            book.ask(entry, 200)
+            book.request_credit(entry, 200)
     served = []
     while grants := book.distribute(200 - book.reserved):
         served += [g.entry for g in grants]
@@ -67,8 +67,8 @@
 def test_lost_grant_lapses_with_its_lease():
     async def main():
         clock = ManualClock()
-        book = GrantBook(clock=clock)
-        book.ask("a", 200)
+        book = GrantTable(clock=clock)
+        book.request_credit("a", 200)
         book.distribute(200)
         await clock.advance(CREDIT_LEASE_S - 0.01)
         assert book.reserved == 200
@@ -79,23 +79,23 @@
 
 
 def test_asks_above_a_share_come_last_and_leave_headroom():
-    book = GrantBook(clock=ManualClock())
+    book = GrantTable(clock=ManualClock())
     for _ in range(3):
-        book.ask("a", 200, is_surplus=True)
-    book.ask("b", 200)
+        book.request_credit("a", 200, is_surplus=True)
+    book.request_credit("b", 200)
     grants = book.distribute(800, headroom=200)
     assert [(g.entry, g.is_surplus) for g in grants] == [
         ("b", False),
         ("a", True),
         ("a", True),
     ]
-    book.ask("c", 200)
+    book.request_credit("c", 200)
     assert [g.entry for g in book.distribute(200, headroom=200)] == ["c"]
 
 
 def test_withdrawn_ask_that_was_granted_meanwhile_frees_its_credit():
-    book = GrantBook(clock=ManualClock())
-    book.ask("a", 200)
+    book = GrantTable(clock=ManualClock())
+    book.request_credit("a", 200)
     book.distribute(200)
     book.withdraw("a", 200)
     assert book.reserved == 0
@@ -104,11 +104,11 @@
 def test_contention_is_an_ask_within_a_share_that_had_to_wait_lately():
     async def main():
         clock = ManualClock()
-        book = GrantBook(clock=clock)
-        book.ask("a", 200, is_surplus=True)
+        book = GrantTable(clock=clock)
+        book.request_credit("a", 200, is_surplus=True)
         book.distribute(100)
         assert not book.is_contended
-        book.ask("b", 200)
+        book.request_credit("b", 200)
         book.distribute(100)
         assert book.is_contended
         book.distribute(200)
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/residue.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/untracked_work.py
@@ -2,14 +2,14 @@
 
 from collections import deque
 
-__all__ = ["Residue"]
+__all__ = ["UntrackedWork"]
 
 SERVICE_HOLD_S = 5.0
 MODEL_HOLD_S = 300.0
 ENDED_KEPT_S = 10.0
 
 
-class Residue:
+class UntrackedWork:
     """Cost held for abandoned requests and for those of an earlier agent.
 
     Parameters
@@ -30,12 +30,12 @@
     Examples
     --------
     >>> from magnoliagrade.clock import ManualClock
-    >>> residue = Residue(clock=ManualClock(start=10.0), has_reports=True)
+    >>> residue = UntrackedWork(clock=ManualClock(start=10.0), has_reports=True)
     >>> residue.add(200)
-    >>> residue.on_report(200, [], asked_at=9.9, answered_at=10.0, age_s=0.3)
+    >>> residue.on_report(200, [], requested_at=9.9, answered_at=10.0, age_s=0.3)
     >>> residue.cost
     200.0
-    >>> residue.on_report(50, [], asked_at=10.5, answered_at=10.5, age_s=0.3)
+    >>> residue.on_report(50, [], requested_at=10.5, answered_at=10.5, age_s=0.3)
     >>> residue.cost
     50.0
     """
@@ -65,7 +65,9 @@
         while self._ended[0].ended_at < limit:
             self._ended.popleft()
 
-    def on_report(self, tokens_in_flight, followed, *, asked_at, answered_at, age_s):
+    def on_report(
+        self, tokens_in_flight, followed, *, requested_at, answered_at, age_s
+    ):
         """Lower the cost to what a report leaves room for.
 
         Parameters
@@ -74,12 +76,12 @@
             What the engine counted.
         followed : iterable of EndpointWork
             Requests that the agent follows now.
-        asked_at, answered_at : float
+        requested_at, answered_at : float
             Monotonic times of asking for the report and of its arrival.
         age_s : float
             Age that the report gives itself.
         """
-        earliest = asked_at - age_s
+        earliest = requested_at - age_s
         latest = answered_at - age_s
         if not self.cost or earliest < self._since:
             return
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/work.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/work.py
@@ -35,7 +35,7 @@
         Server-sent events seen.
     was_in_use : bool
         Whether the limit was at least half used meanwhile.
-    is_whole : bool
+    is_complete : bool
         Whether the whole answer came.
     has_failed : bool
         Whether the endpoint answered that it failed.
@@ -51,10 +51,10 @@
     ended_at: float = None
     events: int = 0
     was_in_use: bool = False
-    is_whole: bool = False
+    is_complete: bool = False
     has_failed: bool = False
 
-    def note_part(self, part, *, at):
+    def note_chunk(self, part, *, at):
         """Note a part of the body."""
         if self.first_byte_at is None:
             self.first_byte_at = at
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/direct/planning.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/direct/planning.py
@@ -6,8 +6,8 @@
 
 import numpy as np
 from magnoliagrade.algorithms.balance import (
-    apply_move,
-    best_move,
+    apply_change,
+    best_change,
     rank_times,
     skew,
     step_time,
@@ -208,9 +208,9 @@
 def _improve(planned, former, rates, *, speeds, places, spare, floor):
     for _ in range(MAX_MOVES):
         added = (planned & ~former).sum(axis=1)
-        move = best_move(
+        move = best_change(
             planned, rates, speeds=speeds, slots=places, may_load=added < spare
         )
         if move is None or move.gain_per_transfer < floor:
             return
-        apply_move(planned, move)
+        apply_change(planned, move)
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/door.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/door.py
@@ -113,7 +113,7 @@
 
 async def _serve_attempt(node, request, headers, sink):
     work = await node.credits.admit(request, entry=headers[names.ENTRY])
-    with node.credits.following(work):
+    with node.credits.track(work):
         try:
             await _exchange(node, request, work, headers, sink)
         except aiohttp.ClientConnectionResetError:
@@ -136,10 +136,10 @@
             work.has_failed = response.status >= 500
             await sink.start(response.status, response.headers)
             async for part in response.content.iter_any():
-                node.credits.note_part(work, part)
+                node.credits.note_chunk(work, part)
                 await sink.write(part)
             await sink.finish()
-    work.is_whole = True
+    work.is_complete = True
 
 
 async def _open(node, request, attempt, headers):
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/group/balancing.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/group/balancing.py
@@ -3,7 +3,7 @@
 import numpy as np
 from magnoliagrade.algorithms.balance import (
     ExpertCounter,
-    Situation,
+    RebalancingInput,
     SpeedEstimator,
     rank_times,
     rebalancing_policies,
@@ -86,8 +86,8 @@
             share=options.store_share,
             groups=self.groups,
         )
-        situation = Situation(
-            holds=holds,
+        situation = RebalancingInput(
+            placement=holds,
             rates=self._counter.rates(),
             speeds=self._speeds.speeds(),
             slots=self.group.slots_per_rank,
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/group/coordination.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/group/coordination.py
@@ -179,7 +179,7 @@
             saving_s=round(plan.saving_s, 3),
             cost_s=round(plan.cost_s, 3),
         )
-        is_done = await self._switch(pack_placement(plan.holds))
+        is_done = await self._switch(pack_placement(plan.placement))
         result = "carried-out" if is_done else "failed"
         metrics.PLANS.labels(group.name, result).inc()
         if is_done:
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/instance.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/instance.py
@@ -9,7 +9,7 @@
 from magnoliagrade.wire import Label
 from magnoliagrade.world import Role, Work
 
-from magnoliagrade_agent.capacity import CreditBook, limit_policies
+from magnoliagrade_agent.capacity import CreditLedger, limit_policies
 from magnoliagrade_agent.door import make_data_door
 from magnoliagrade_agent.engine import EngineClient
 from magnoliagrade_agent.handlers import agent_handlers, agent_tasks
@@ -58,12 +58,12 @@
         )
         self.attempts = AttemptBook()
         self.outcomes = OutcomeBook()
-        self.credits = CreditBook(
+        self.credits = CreditLedger(
             limit_policy=limit_policies.get(DEFAULT_LIMIT_POLICY)(),
             clock=self.clock,
             has_reports=settings.work == Work.MODEL.value,
         )
-        self.credits.on_free = lambda: send_grants(self)
+        self.credits.on_capacity_freed = lambda: send_grants(self)
         self.load_watch = LoadWatch()
         self.is_listed_leaving = False
         self._was_refusing = False
@@ -149,7 +149,7 @@
         """Take a new configuration: limits, and a cold start after coming back."""
         is_refusing = bool(self.reason_to_refuse())
         if self._was_refusing and not is_refusing:
-            self.credits.drop_to_cold("admitted-again")
+            self.credits.reset_to_cold_limit("admitted-again")
         self._was_refusing = is_refusing
         self._apply_pool()
 
@@ -168,13 +168,13 @@
             self.group_service.on_link_up(link)
         if link.hello.role != Role.ENTRY.value:
             return
-        self.credits.grants.forget_asks(link.peer_instance)
+        self.credits.grants.drop_pending(link.peer_instance)
         self.load_watch.send_to(self, link)
 
     def on_link_down(self, link):
         """Forget what an entry asked for; its credit lapses with the lease."""
         if link.peer_instance not in self.links.by_instance:
-            self.credits.grants.forget_asks(link.peer_instance)
+            self.credits.grants.drop_pending(link.peer_instance)
 
     def _configure_limit(self, pool):
         name = pool.options.get(LIMIT_POLICY_OPTION, DEFAULT_LIMIT_POLICY)
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/load_watch.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/load_watch.py
@@ -82,7 +82,7 @@
             tokens_in_flight=report.tokens_in_flight,
             cache_used=report.cache_used,
             age_seconds=report.age_s,
-            limit=credits.known_limit,
+            limit=credits.advertised_limit,
             held=credits.held + credits.grants.reserved,
             asked=credits.grants.asked,
             headroom=credits.headroom,
@@ -115,9 +115,9 @@
     if message.returned:
         grants.withdraw(entry, message.returned, is_surplus=message.is_surplus)
     if message.wanted:
-        grants.ask(entry, message.wanted, is_surplus=message.is_surplus)
+        grants.request_credit(entry, message.wanted, is_surplus=message.is_surplus)
     send_grants(node)
-    if message.wanted and grants.has_asks(entry):
+    if message.wanted and grants.has_pending(entry):
         node.load_watch.send_full(node, link)
 
 
@@ -136,7 +136,7 @@
 
 
 async def _read_load(node):
-    asked_at = node.clock.monotonic()
+    requested_at = node.clock.monotonic()
     try:
         report = await node.engine.load_report()
     except MagnoliagradeError as exc:
@@ -144,11 +144,11 @@
         return
     before = node.load_watch.report
     node.load_watch.report = report
-    node.credits.on_report(report, asked_at=asked_at)
+    node.credits.on_report(report, requested_at=requested_at)
     if before.boot_id and before.boot_id != report.boot_id:
         log_event(_log, "engine.restarted", boot_id=report.boot_id)
     elif before.cache_used >= USED_CACHE and report.cache_used <= EMPTY_CACHE:
-        node.credits.drop_to_cold("cache-emptied")
+        node.credits.reset_to_cold_limit("cache-emptied")
 
 
 def send_grants(node):
@@ -164,7 +164,7 @@
                 amount=grant.amount,
                 lease_seconds=CREDIT_LEASE_S,
                 engine_boot=node.load_watch.report.boot_id,
-                limit=node.credits.known_limit,
+                limit=node.credits.advertised_limit,
                 held=node.credits.held + node.credits.grants.reserved,
                 is_surplus=grant.is_surplus,
                 headroom=node.credits.headroom,
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/probe.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/probe.py
@@ -29,7 +29,7 @@
         return
     log_event(_log, "endpoint.unreachable")
     node.credits.is_blocked = True
-    node.credits.drop_to_cold("unreachable")
+    node.credits.reset_to_cold_limit("unreachable")
 
 
 @agent_tasks.register("endpoint-probe")
@@ -43,5 +43,5 @@
         if await node.engine.takes_connections(source=source):
             log_event(_log, "endpoint.reachable")
             node.credits.is_blocked = False
-            if node.credits.on_free is not None:
-                node.credits.on_free()
+            if node.credits.on_capacity_freed is not None:
+                node.credits.on_capacity_freed()
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/balance/comparison.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/balance/comparison.py
@@ -5,7 +5,7 @@
 import numpy as np
 from magnoliagrade.algorithms.balance import (
     ExpertCounter,
-    Situation,
+    RebalancingInput,
     SpeedEstimator,
     initial_placement,
     rank_times,
@@ -221,8 +221,8 @@
         if self.loading is not None or not self.counter.has_counts:
             return
         plan = self.plan
-        situation = Situation(
-            holds=self.holds,
+        situation = RebalancingInput(
+            placement=self.holds,
             rates=self.counter.rates(),
             speeds=self.estimator.speeds(),
             slots=plan.slots_per_rank,
@@ -242,6 +242,6 @@
 
     def _finish_loading(self, now):
         if self.loading is not None and now >= self.loading[0]:
-            self.holds = self.loading[1].holds
+            self.holds = self.loading[1].placement
             self.report.plans_carried_out += 1
             self.loading = None
--- a/packages/magnoliagrade/magnoliagrade/algorithms/balance/__init__.py
+++ b/packages/magnoliagrade/magnoliagrade/algorithms/balance/__init__.py
@@ -2,7 +2,6 @@
 
 from magnoliagrade.algorithms.balance.budget import rebalancing_rate
 from magnoliagrade.algorithms.balance.counts import ExpertCounter
-from magnoliagrade.algorithms.balance.moves import Move, apply_move, best_move
 from magnoliagrade.algorithms.balance.placement import (
     count_transfers,
     initial_placement,
@@ -12,9 +11,14 @@
     step_time,
     unpack_placement,
 )
+from magnoliagrade.algorithms.balance.placement_changes import (
+    PlacementChange,
+    apply_change,
+    best_change,
+)
 from magnoliagrade.algorithms.balance.policies import (
     Plan,
-    Situation,
+    RebalancingInput,
     rebalancing_policies,
 )
 from magnoliagrade.algorithms.balance.repack import repack
@@ -22,12 +26,12 @@
 
 __all__ = [
     "ExpertCounter",
-    "Move",
+    "PlacementChange",
     "Plan",
-    "Situation",
+    "RebalancingInput",
     "SpeedEstimator",
-    "apply_move",
-    "best_move",
+    "apply_change",
+    "best_change",
     "count_transfers",
     "initial_placement",
     "pack_placement",
--- a/packages/magnoliagrade/magnoliagrade/algorithms/balance/placement.py
+++ b/packages/magnoliagrade/magnoliagrade/algorithms/balance/placement.py
@@ -31,7 +31,7 @@
 
     Returns
     -------
-    holds : ndarray of bool, shape (layers, ranks, experts)
+    placement : ndarray of bool, shape (layers, ranks, experts)
         Experts in contiguous blocks, spare slots with the next ones.
 
     Raises
@@ -41,30 +41,30 @@
 
     Examples
     --------
-    >>> holds = initial_placement(layers=1, ranks=2, experts=4, slots=2)
-    >>> holds[0].astype(int).tolist()
+    >>> placement = initial_placement(layers=1, ranks=2, experts=4, slots=2)
+    >>> placement[0].astype(int).tolist()
     [[1, 1, 0, 0], [0, 0, 1, 1]]
     """
     if ranks * slots < experts:
         detail = f"{experts} experts do not fit into {ranks} ranks of {slots} slots"
         raise MagnoliagradeError(ErrorKind.CONFIGURATION_INVALID, detail)
-    holds = np.zeros((layers, ranks, experts), dtype=bool)
+    placement = np.zeros((layers, ranks, experts), dtype=bool)
     first = np.arange(experts) * ranks // experts
-    holds[:, first, np.arange(experts)] = True
+    placement[:, first, np.arange(experts)] = True
     for rank in range(ranks):
         start = int(np.argmax(first == rank))
         for i in range(min(slots, experts)):
-            if holds[0, rank].sum() < slots:
-                holds[:, rank, (start + i) % experts] = True
-    return holds
+            if placement[0, rank].sum() < slots:
+                placement[:, rank, (start + i) % experts] = True
+    return placement
 
 
-def rank_times(holds, rates, speeds):
+def rank_times(placement, rates, speeds):
     """Return the work of each rank in each layer.
 
     Parameters
     ----------
-    holds : ndarray of bool, shape (layers, ranks, experts)
+    placement : ndarray of bool, shape (layers, ranks, experts)
         Placement.
     rates : ndarray of shape (layers, experts)
         Tokens of each expert.
@@ -76,8 +76,8 @@
     times : ndarray of shape (layers, ranks)
         Tokens over speed; the replicas of an expert share its tokens evenly.
     """
-    shares = rates / holds.sum(axis=1)
-    return np.einsum("lre,le->lr", holds, shares) / speeds
+    shares = rates / placement.sum(axis=1)
+    return np.einsum("lre,le->lr", placement, shares) / speeds
 
 
 def step_time(times):
@@ -101,9 +101,9 @@
     return int((new & ~old).sum())
 
 
-def pack_placement(holds):
+def pack_placement(placement):
     """Return a placement as bytes: sizes, then one bit for each place."""
-    return _HEADER.pack(*holds.shape) + np.packbits(holds).tobytes()
+    return _HEADER.pack(*placement.shape) + np.packbits(placement).tobytes()
 
 
 def unpack_placement(data):
--- a/packages/magnoliagrade/magnoliagrade/algorithms/balance/moves.py
+++ b/packages/magnoliagrade/magnoliagrade/algorithms/balance/placement_changes.py
@@ -4,7 +4,7 @@
 
 import numpy as np
 
-__all__ = ["Move", "apply_move", "best_move"]
+__all__ = ["PlacementChange", "apply_change", "best_change"]
 
 HOT_EXPERTS = 4
 COOL_RANKS = 4
@@ -13,7 +13,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Move:
+class PlacementChange:
     """Experts that enter and leave ranks in one layer.
 
     Parameters
@@ -36,20 +36,20 @@
         return self.gain / len(self.added)
 
 
-def apply_move(holds, move):
+def apply_change(placement, move):
     """Carry a move out on one layer's placement, in place."""
     for rank, expert in move.dropped:
-        holds[rank, expert] = False
+        placement[rank, expert] = False
     for rank, expert in move.added:
-        holds[rank, expert] = True
+        placement[rank, expert] = True
 
 
-def best_move(holds, rates, *, speeds, slots, may_load=None):
+def best_change(placement, rates, *, speeds, slots, may_load=None):
     """Return the move that shortens a layer most for each expert loaded.
 
     Parameters
     ----------
-    holds : ndarray of bool, shape (ranks, experts)
+    placement : ndarray of bool, shape (ranks, experts)
         Placement of the layer.
     rates : ndarray of shape (experts,)
         Tokens of each expert.
@@ -62,7 +62,7 @@
 
     Returns
     -------
-    move : Move or None
+    move : PlacementChange or None
         None if nothing helps.
 
     Notes
@@ -72,30 +72,32 @@
     compared by a power mean of the ranks' times, which falls also while two ranks
     are equally slow.
     """
-    replicas = holds.sum(axis=0)
-    loads = holds @ (rates / replicas)
+    replicas = placement.sum(axis=0)
+    loads = placement @ (rates / replicas)
     times = loads / speeds
     hot = int(np.argmax(times))
     order = np.argsort(times, kind="stable")
     if may_load is None:
         may_load = np.ones(len(times), dtype=bool)
     cool = [int(r) for r in order if r != hot and may_load[r]][:COOL_RANKS]
-    held = np.flatnonzero(holds[hot])
+    held = np.flatnonzero(placement[hot])
     shares = rates / replicas
     hottest = held[np.argsort(-shares[held], kind="stable")]
     candidates = []
     for rank in cool:
-        candidates += _replications(holds, shares, hottest[:HOT_EXPERTS], rank, slots)
-        candidates += _transfers(holds, shares, times, hot, rank, slots)
+        candidates += _replications(
+            placement, shares, hottest[:HOT_EXPERTS], rank, slots
+        )
+        candidates += _transfers(placement, shares, times, hot, rank, slots)
     if not may_load[hot]:
         candidates = [c for c in candidates if all(r != hot for r, _ in c[0])]
-    return _choose(holds, rates, speeds, candidates)
+    return _choose(placement, rates, speeds, candidates)
 
 
-def _replications(holds, shares, experts, rank, slots):
+def _replications(placement, shares, experts, rank, slots):
     dropped = ()
-    if holds[rank].sum() >= slots:
-        spare = np.flatnonzero(holds[rank] & (holds.sum(axis=0) > 1))
+    if placement[rank].sum() >= slots:
+        spare = np.flatnonzero(placement[rank] & (placement.sum(axis=0) > 1))
         if not len(spare):
             return []
         victim = int(spare[np.argmin(shares[spare])])
@@ -103,20 +105,20 @@
     return [
         (((rank, int(expert)),), dropped)
         for expert in experts
-        if not holds[rank, expert]
+        if not placement[rank, expert]
     ]
 
 
-def _transfers(holds, shares, times, hot, rank, slots):
-    movable = np.flatnonzero(holds[hot] & ~holds[rank])
+def _transfers(placement, shares, times, hot, rank, slots):
+    movable = np.flatnonzero(placement[hot] & ~placement[rank])
     if not len(movable):
         return []
     wanted = (times[hot] - times[rank]) / 2
-    if holds[rank].sum() < slots:
+    if placement[rank].sum() < slots:
         nearest = movable[np.argmin(np.abs(shares[movable] - wanted))]
         expert = int(nearest)
         return [(((rank, expert),), ((hot, expert),))]
-    counterparts = np.flatnonzero(holds[rank] & ~holds[hot])
+    counterparts = np.flatnonzero(placement[rank] & ~placement[hot])
     differences = shares[movable][:, None] - shares[counterparts][None, :]
     nearest = np.argsort(np.abs(differences - wanted), axis=None)[:SWAPS]
     rows, columns = np.unravel_index(nearest, differences.shape)
@@ -129,12 +131,12 @@
     ]
 
 
-def _choose(holds, rates, speeds, candidates):
-    before = _norm(_times_after(holds, rates, speeds, ((), ())))
+def _choose(placement, rates, speeds, candidates):
+    before = _norm(_times_after(placement, rates, speeds, ((), ())))
     best = None
     for added, dropped in candidates:
-        after = _norm(_times_after(holds, rates, speeds, (added, dropped)))
-        move = Move(added=added, dropped=dropped, gain=before - after)
+        after = _norm(_times_after(placement, rates, speeds, (added, dropped)))
+        move = PlacementChange(added=added, dropped=dropped, gain=before - after)
         if move.gain <= 0:
             continue
         if best is None or move.gain_per_transfer > best.gain_per_transfer:
@@ -142,11 +144,11 @@
     return best
 
 
-def _times_after(holds, rates, speeds, change):
+def _times_after(placement, rates, speeds, change):
     added, dropped = change
-    changed = holds
+    changed = placement
     if added:
-        changed = holds.copy()
+        changed = placement.copy()
         for rank, expert in dropped:
             changed[rank, expert] = False
         for rank, expert in added:
--- a/packages/magnoliagrade/magnoliagrade/algorithms/balance/policies.py
+++ b/packages/magnoliagrade/magnoliagrade/algorithms/balance/policies.py
@@ -5,16 +5,16 @@
 
 import numpy as np
 
-from magnoliagrade.algorithms.balance.moves import apply_move, best_move
 from magnoliagrade.algorithms.balance.placement import (
     count_transfers,
     rank_times,
     step_time,
 )
+from magnoliagrade.algorithms.balance.placement_changes import apply_change, best_change
 from magnoliagrade.algorithms.balance.repack import repack
 from magnoliagrade.registry import Registry
 
-__all__ = ["Plan", "Situation", "rebalancing_policies"]
+__all__ = ["Plan", "RebalancingInput", "rebalancing_policies"]
 
 rebalancing_policies = Registry(family="rebalancing policy")
 
@@ -23,12 +23,12 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Situation:
+class RebalancingInput:
     """What a policy decides on.
 
     Parameters
     ----------
-    holds : ndarray of bool, shape (layers, ranks, experts)
+    placement : ndarray of bool, shape (layers, ranks, experts)
         Placement in force.
     rates : ndarray of shape (layers, experts)
         Tokens a second of each expert.
@@ -46,7 +46,7 @@
         Time in seconds for which a better map is expected to stay better.
     """
 
-    holds: np.ndarray
+    placement: np.ndarray
     rates: np.ndarray
     speeds: np.ndarray
     slots: int
@@ -55,9 +55,9 @@
     budget_bytes: float
     horizon_s: float
 
-    def step_time(self, holds):
+    def step_time(self, placement):
         """Return the length of a step under a placement, in tokens of one rank."""
-        return step_time(rank_times(holds, self.rates, self.speeds))
+        return step_time(rank_times(placement, self.rates, self.speeds))
 
 
 @dataclass(slots=True, kw_only=True)
@@ -66,7 +66,7 @@
 
     Parameters
     ----------
-    holds : ndarray of bool, shape (layers, ranks, experts)
+    placement : ndarray of bool, shape (layers, ranks, experts)
         The placement.
     transfers : int
         Experts to load.
@@ -78,7 +78,7 @@
         Layers whose best move was looked for; the work of planning.
     """
 
-    holds: np.ndarray
+    placement: np.ndarray
     transfers: int
     saving_s: float
     cost_s: float
@@ -104,8 +104,10 @@
 
     def plan(self, situation):
         """Return the placement that knows no earlier one."""
-        holds = repack(situation.rates, speeds=situation.speeds, slots=situation.slots)
-        return _plan_to(situation, holds)
+        placement = repack(
+            situation.rates, speeds=situation.speeds, slots=situation.slots
+        )
+        return _plan_to(situation, placement)
 
 
 @rebalancing_policies.register("greedy")
@@ -120,7 +122,7 @@
 
 
 @rebalancing_policies.register("weighed")
-class Weighed:
+class CostAwareGreedy:
     """Moves that are expected to save more than they cost, best first.
 
     Notes
@@ -135,7 +137,7 @@
 
     def plan(self, situation):
         """Return the placement after the moves that are worth it, or None."""
-        before = situation.step_time(situation.holds)
+        before = situation.step_time(situation.placement)
         load_s = situation.expert_bytes / situation.bytes_per_s
         least_gain = before * load_s / situation.horizon_s
         plan = _plan_by_moves(
@@ -147,17 +149,17 @@
 
 
 def _plan_by_moves(situation, *, least_gain, budget_bytes):
-    holds = situation.holds.copy()
+    placement = situation.placement.copy()
     left = budget_bytes / situation.expert_bytes
-    moves_left = np.full(len(holds), MAX_MOVES_PER_LAYER)
+    moves_left = np.full(len(placement), MAX_MOVES_PER_LAYER)
     heap = []
     evaluations = 0
 
     def push(layer):
         nonlocal evaluations
         evaluations += 1
-        move = best_move(
-            holds[layer],
+        move = best_change(
+            placement[layer],
             situation.rates[layer],
             speeds=situation.speeds,
             slots=situation.slots,
@@ -165,29 +167,29 @@
         if move is not None and move.gain_per_transfer > least_gain:
             heapq.heappush(heap, (-move.gain_per_transfer, layer, move))
 
-    for layer in range(len(holds)):
+    for layer in range(len(placement)):
         push(layer)
     while heap:
         _, layer, move = heapq.heappop(heap)
         if len(move.added) > left:
             break
-        apply_move(holds[layer], move)
+        apply_change(placement[layer], move)
         left -= len(move.added)
         moves_left[layer] -= 1
         if moves_left[layer]:
             push(layer)
-    return _plan_to(situation, holds, evaluations=evaluations)
+    return _plan_to(situation, placement, evaluations=evaluations)
 
 
-def _plan_to(situation, holds, *, evaluations=0):
-    transfers = count_transfers(situation.holds, holds)
+def _plan_to(situation, placement, *, evaluations=0):
+    transfers = count_transfers(situation.placement, placement)
     if not transfers:
         return None
-    before = situation.step_time(situation.holds)
-    saved = 1 - situation.step_time(holds) / before
+    before = situation.step_time(situation.placement)
+    saved = 1 - situation.step_time(placement) / before
     load_s = transfers * situation.expert_bytes / situation.bytes_per_s
     return Plan(
-        holds=holds,
+        placement=placement,
         transfers=transfers,
         saving_s=saved * situation.horizon_s,
         cost_s=load_s + SWITCH_COST_S,
--- a/packages/magnoliagrade/magnoliagrade/algorithms/balance/repack.py
+++ b/packages/magnoliagrade/magnoliagrade/algorithms/balance/repack.py
@@ -21,7 +21,7 @@
 
     Returns
     -------
-    holds : ndarray of bool, shape (layers, ranks, experts)
+    placement : ndarray of bool, shape (layers, ranks, experts)
         The placement.
 
     Notes
@@ -30,11 +30,11 @@
     """
     layers, experts = rates.shape
     ranks = len(speeds)
-    holds = np.zeros((layers, ranks, experts), dtype=bool)
+    placement = np.zeros((layers, ranks, experts), dtype=bool)
     for layer in range(layers):
         replicas = _replicas(rates[layer], ranks=ranks, spare=ranks * slots - experts)
-        _pack(holds[layer], rates[layer] / replicas, replicas, speeds, slots)
-    return holds
+        _pack(placement[layer], rates[layer] / replicas, replicas, speeds, slots)
+    return placement
 
 
 def _replicas(rates, *, ranks, spare):
@@ -51,16 +51,16 @@
     return replicas
 
 
-def _pack(holds, shares, replicas, speeds, slots):
+def _pack(placement, shares, replicas, speeds, slots):
     loads = np.zeros(len(speeds))
     free = np.full(len(speeds), slots)
     for expert in np.argsort(-shares, kind="stable"):
         for _ in range(replicas[expert]):
             finish = (loads + shares[expert]) / speeds
-            finish[(free == 0) | holds[:, expert]] = np.inf
+            finish[(free == 0) | placement[:, expert]] = np.inf
             rank = int(np.argmin(finish))
             if np.isinf(finish[rank]):
                 break
-            holds[rank, expert] = True
+            placement[rank, expert] = True
             loads[rank] += shares[expert]
             free[rank] -= 1
--- a/packages/magnoliagrade/magnoliagrade/algorithms/balance/tests/test_balance.py
+++ b/packages/magnoliagrade/magnoliagrade/algorithms/balance/tests/test_balance.py
@@ -4,7 +4,7 @@
 
 from magnoliagrade.algorithms.balance import (
     ExpertCounter,
-    Situation,
+    RebalancingInput,
     SpeedEstimator,
     count_transfers,
     initial_placement,
@@ -20,7 +20,7 @@
 def _situation(rates, **changes):
     layers, experts = rates.shape
     fields = {
-        "holds": None,
+        "placement": None,
         "rates": rates,
         "speeds": np.ones(4),
         "slots": 3,
@@ -30,15 +30,15 @@
         "horizon_s": 1000.0,
     }
     fields.update(changes)
-    if fields["holds"] is None:
-        fields["holds"] = initial_placement(
+    if fields["placement"] is None:
+        fields["placement"] = initial_placement(
             layers=layers, ranks=4, experts=experts, slots=3
         )
-    return Situation(**fields)
+    return RebalancingInput(**fields)
 
 
-def _is_valid(holds, slots):
-    return holds.any(axis=1).all() and holds.sum(axis=2).max() <= slots
+def _is_valid(placement, slots):
+    return placement.any(axis=1).all() and placement.sum(axis=2).max() <= slots
 
 
 @settings(max_examples=40, deadline=None, derandomize=True)
@@ -49,27 +49,29 @@
         situation = _situation(rates)
         plan = rebalancing_policies.get(name)().plan(situation)
         if plan is not None:
-            assert _is_valid(plan.holds, situation.slots), name
-            assert plan.transfers == count_transfers(situation.holds, plan.holds)
+            assert _is_valid(plan.placement, situation.slots), name
+            assert plan.transfers == count_transfers(
+                situation.placement, plan.placement
+            )
 
 
 def test_placement_survives_packing():
-    holds = initial_placement(layers=2, ranks=3, experts=5, slots=2)
-    assert (unpack_placement(pack_placement(holds)) == holds).all()
+    placement = initial_placement(layers=2, ranks=3, experts=5, slots=2)
+    assert (unpack_placement(pack_placement(placement)) == placement).all()
 
 
 def test_hot_expert_gets_replicas():
     rates = np.ones((1, 8))
     rates[0, 5] = 20
-    holds = repack(rates, speeds=np.ones(4), slots=3)
-    assert holds[0, :, 5].sum() == 4
+    placement = repack(rates, speeds=np.ones(4), slots=3)
+    assert placement[0, :, 5].sum() == 4
 
 
 def test_slow_rank_gets_less():
     rates = np.ones((1, 8))
     speeds = np.array([1.0, 1.0, 1.0, 0.5])
     plan = rebalancing_policies.get("weighed")().plan(_situation(rates, speeds=speeds))
-    loads = rank_times(plan.holds, rates, np.ones(4))[0]
+    loads = rank_times(plan.placement, rates, np.ones(4))[0]
     assert loads[3] < loads[:3].min()
 
 
@@ -99,10 +101,10 @@
 
 def test_planning_at_the_target_size_is_bounded_work():
     rates = np.random.default_rng(1).lognormal(sigma=0.8, size=(60, 128)) * 1000
-    holds = initial_placement(layers=60, ranks=32, experts=128, slots=6)
+    placement = initial_placement(layers=60, ranks=32, experts=128, slots=6)
     situation = _situation(
         rates,
-        holds=holds,
+        placement=placement,
         speeds=np.ones(32),
         slots=6,
         expert_bytes=44_000_000,
@@ -111,8 +113,8 @@
     )
     plan = rebalancing_policies.get("weighed")().plan(situation)
     assert plan.evaluations <= 60 + plan.transfers
-    after = skew(rank_times(plan.holds, rates, situation.speeds))
-    assert after < skew(rank_times(holds, rates, situation.speeds))
+    after = skew(rank_times(plan.placement, rates, situation.speeds))
+    assert after < skew(rank_times(placement, rates, situation.speeds))
 
 
 def test_counts_survive_lost_late_and_repeated_reports():
