--- a/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/__init__.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/__init__.py
@@ -1,4 +1,4 @@
-"""How much an endpoint bears and who may use it."""
+"""Capacity of an endpoint: its limit, and the credit that entries hold for it."""
 
 from magnoliagrade_agent.capacity.continuity import BootContinuity
 from magnoliagrade_agent.capacity.credits import CreditLedger
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/continuity.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/continuity.py
@@ -1,24 +1,31 @@
-"""Proof that an engine has not restarted unseen."""
+"""Detection of engine restarts that happen between requests."""
 
 __all__ = ["BootContinuity"]
 
 
 class BootContinuity:
-    """Whether the engine that runs now is known to be the one that grew warm.
+    """Tracks whether the running engine is known to be the one that warmed up.
 
     Parameters
     ----------
     has_reports : bool
-        Whether the endpoint gives load reports; without them only broken
-        connections tell of a restart.
+        Whether the endpoint provides load reports. Without them, a restart shows
+        only by broken connections.
+
+    Attributes
+    ----------
+    boot_id : str
+        Boot that the newest load report names; empty before the first.
+    epoch : int
+        Number of times that the endpoint has turned cold.
 
     Notes
     -----
-    A restart breaks every running request, so an unbroken chain of overlapping
-    requests shows that there was none while it lasted. A load report whose snapshot
-    was taken during the chain names the boot it belongs to. Between two chains the
-    engine may restart without any sign until a report says so; the limit above the
-    cold one must not be used before that.
+    A restart breaks every running request. An unbroken chain of overlapping requests
+    therefore proves that the engine did not restart during it, and a load report
+    whose snapshot was taken during the chain names the boot of that engine. Between
+    two chains the engine may restart unnoticed until the next report. The limit
+    above the cold limit must not be used before that report.
 
     Examples
     --------
@@ -39,63 +46,69 @@
     """
 
     __slots__ = (
-        "_chain_since",
-        "_confirmed",
+        "_chain_began_at",
+        "_confirmed_count",
         "_has_reports",
-        "_proven",
+        "_is_proven",
         "boot_id",
         "epoch",
     )
 
     def __init__(self, *, has_reports):
         self._has_reports = has_reports
-        self._chain_since = None
-        self._confirmed = 0
-        self._proven = False
+        self._chain_began_at = None
+        self._confirmed_count = 0
+        self._is_proven = False
         self.boot_id = ""
         self.epoch = 0
 
     @property
     def is_proven(self):
-        """Whether the running engine is known to be the one that grew warm."""
-        return self._proven or not self._has_reports
+        """Whether the running engine is known to be the one that warmed up."""
+        return self._is_proven or not self._has_reports
 
     def on_confirmed(self, epoch, *, at):
-        """Note that the engine has begun to answer a request of an epoch."""
+        """Record that the engine began to respond to a request of an epoch."""
         if epoch != self.epoch:
             return
-        if not self._confirmed:
-            self._chain_since = at
-        self._confirmed += 1
+        if not self._confirmed_count:
+            self._chain_began_at = at
+        self._confirmed_count += 1
 
     def on_ended(self, epoch):
-        """Note that a confirmed request of an epoch has ended."""
+        """Record the end of a confirmed request of an epoch."""
         if epoch != self.epoch:
             return
-        self._confirmed -= 1
-        if not self._confirmed:
-            self._proven = False
+        self._confirmed_count -= 1
+        if not self._confirmed_count:
+            self._is_proven = False
 
     def on_cold(self):
-        """Begin a new epoch; requests of older ones prove nothing any more."""
+        """Begin a new epoch; requests of older epochs no longer prove anything."""
         self.epoch += 1
-        self._confirmed = 0
-        self._proven = False
+        self._confirmed_count = 0
+        self._is_proven = False
 
     def on_report(self, boot_id, *, snapshot_at):
-        """Take a load report; return whether it shows a new boot.
+        """Process a load report and return whether it shows a new boot.
 
         Parameters
         ----------
         boot_id : str
             Boot that the report names.
         snapshot_at : float
-            Earliest monotonic time at which the report can have been made.
+            Earliest monotonic time, in seconds, at which the report's snapshot can
+            have been taken.
+
+        Returns
+        -------
+        is_new : bool
+            Whether an earlier report named another boot.
         """
         is_new = bool(self.boot_id) and boot_id != self.boot_id
         self.boot_id = boot_id
         if is_new:
             self.on_cold()
-        elif self._confirmed and snapshot_at >= self._chain_since:
-            self._proven = True
+        elif self._confirmed_count and snapshot_at >= self._chain_began_at:
+            self._is_proven = True
         return is_new
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/credits.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/credits.py
@@ -1,4 +1,4 @@
-"""The agent's book: work in flight, credit granted, and the limit over both."""
+"""Ledger of an agent: work in flight and granted credit, against the limit."""
 
 import contextlib
 import logging
@@ -14,13 +14,19 @@
 
 __all__ = ["CreditLedger"]
 
-SURPLUS_HEADROOM = 0.3
-CONFIRM_S = 0.1
-PACE_POLL_S = 0.005
-PACE_LIMIT_S = 1.0
-FRESH_S = 2.0
-REFUSED_RETRY_S = 1.0
-BREAKING_KINDS = (
+# Part of the limit that surplus requests leave free while others have to wait.
+SURPLUS_HEADROOM_FRACTION = 0.3
+# A request to which the endpoint has not begun to respond within this time no longer
+# delays the admission of others.
+CONFIRMATION_TIMEOUT_S = 0.1
+ADMISSION_POLL_S = 0.005
+MAX_ADMISSION_WAIT_S = 1.0
+# A request above the cold limit may run alone only if the newest load report is at
+# most this old, because an idle engine may have restarted since.
+MAX_REPORT_AGE_S = 2.0
+REJECTED_RETRY_AFTER_S = 1.0
+# Errors after which the engine may have restarted.
+POSSIBLE_RESTART_KINDS = (
     ErrorKind.ANSWER_BROKEN,
     ErrorKind.OUTCOME_UNKNOWN,
     ErrorKind.NOT_RUN,
@@ -33,73 +39,83 @@
 LIMIT_CHANGES = Counter(
     "magnoliagrade_limit_changes_total", "Changes of the limit by reason", ["reason"]
 )
-REFUSALS = Counter(
+REJECTIONS = Counter(
     "magnoliagrade_agent_refusals_total", "Requests refused by reason", ["reason"]
 )
 _log = logging.getLogger(__name__)
 
 
 class CreditLedger:
-    """Work at one endpoint and credit for more, against its limit.
+    """Work in flight at one endpoint and credit granted for it, within its limit.
 
     Parameters
     ----------
     limit_policy : LimitPolicy
-        What decides the limit.
+        Policy that sets the limit.
     clock : Clock
         Source of time.
     has_reports : bool
-        Whether the endpoint gives load reports.
+        Whether the endpoint provides load reports.
+
+    Attributes
+    ----------
+    in_flight : float
+        Cost of the requests that the agent tracks.
+    is_blocked : bool
+        Whether the endpoint accepts no connections, so that nothing is admitted.
+    on_capacity_freed : callable, optional
+        Called without arguments after each end of a tracked request.
 
     Notes
     -----
-    In flight, reserved and residue together stay within the limit. The limit above
-    the cold one is used only while the engine's boot is proven (`BootContinuity`),
-    and nothing is admitted before the first report that was made after this agent
-    started. What the endpoint has not begun to answer stays within the cold limit,
-    because an engine that restarts meets just that.
+    The sum of work in flight, reserved credit and untracked work is kept within the
+    limit. The limit above the cold limit is used only while the engine's boot is
+    proven (`BootContinuity`). With load reports, nothing is admitted before the first
+    report made after the start of this agent. Requests to which the endpoint has not
+    begun to respond stay within the cold limit, because an engine that restarts has
+    to process exactly these while cold.
     """
 
     __slots__ = (
         "_clock",
-        "_followed",
         "_has_reports",
-        "_is_known",
-        "_reported_at",
+        "_is_load_known",
+        "_snapshot_at",
         "_started_at",
+        "_tracked",
         "continuity",
         "grants",
         "in_flight",
         "is_blocked",
         "limit_policy",
         "on_capacity_freed",
-        "residue",
+        "untracked",
     )
 
     def __init__(self, *, limit_policy, clock, has_reports=False):
         self.limit_policy = limit_policy
         self._clock = clock
         self._has_reports = has_reports
-        self._is_known = not has_reports
+        self._is_load_known = not has_reports
         self._started_at = clock.monotonic()
-        self._reported_at = float("-inf")
-        self._followed = {}
+        self._snapshot_at = float("-inf")
+        self._tracked = {}
         self.in_flight = 0.0
         self.is_blocked = False
         self.continuity = BootContinuity(has_reports=has_reports)
         self.grants = GrantTable(clock=clock)
-        self.residue = UntrackedWork(clock=clock, has_reports=has_reports)
+        self.untracked = UntrackedWork(clock=clock, has_reports=has_reports)
         self.on_capacity_freed = None
 
     @property
     def count_in_flight(self):
-        """Return the number of requests that the agent follows."""
-        return len(self._followed)
+        """Return the number of requests that the agent tracks."""
+        return len(self._tracked)
 
     @property
     def limit(self):
-        """Return the cost that the endpoint may hold now."""
-        if not self._is_known or self.is_blocked:
+        """Return the cost that may be in flight at the endpoint now."""
+        if not self._is_load_known or self.is_blocked:
             return 0.0
         if self.continuity.is_proven:
             return self.limit_policy.limit
@@ -107,53 +123,56 @@
 
     @property
     def advertised_limit(self):
-        """Return what the endpoint bears once its boot is proven, for entries."""
-        return self.limit_policy.limit if self._is_known else 0.0
+        """Return the limit reported to entries, which assumes a proven boot."""
+        return self.limit_policy.limit if self._is_load_known else 0.0
 
     @property
     def held(self):
-        """Return the cost in flight and the residue."""
-        return self.in_flight + self.residue.cost
+        """Return the cost in flight and the cost of untracked work."""
+        return self.in_flight + self.untracked.cost
 
     @property
     def free(self):
-        """Return the cost that is neither held nor reserved."""
+        """Return the part of the limit that is neither held nor reserved."""
         return self.limit - self.held - self.grants.reserved
 
     @property
     def needs_report(self):
-        """Whether a report would let more be admitted."""
+        """Whether a load report could raise the cost that is admitted."""
         if not self._has_reports:
             return False
-        is_blind = not self._is_known or bool(self.residue.cost)
-        return is_blind or (self.count_in_flight and not self.continuity.is_proven)
+        lacks_load = not self._is_load_known or bool(self.untracked.cost)
+        return lacks_load or (self.count_in_flight and not self.continuity.is_proven)
 
     @property
     def headroom(self):
-        """Return the cost that asks above a share leave free now.
+        """Return the cost that surplus credit requests must leave free now.
 
         Notes
         -----
-        Without contention there is none: what nobody else waits for is theirs.
+        It is 0 without contention: organisations above their share may use capacity
+        that no other organisation waits for.
         """
-        return SURPLUS_HEADROOM * self.limit if self.grants.is_contended else 0.0
+        return (
+            SURPLUS_HEADROOM_FRACTION * self.limit if self.grants.is_contended else 0.0
+        )
 
     def distribute(self):
-        """Grant what is free to entries that ask; return the new grants."""
-        self.residue.lapse()
-        if not self._is_known:
+        """Grant free capacity to pending credit requests; return the new grants."""
+        self.untracked.expire()
+        if not self._is_load_known:
             return []
         self.grants.drop_larger_than(self.limit_policy.limit)
         is_idle = not self.held and not self.grants.reserved
-        lone_limit = self._lone_limit() if is_idle else 0.0
+        exclusive_limit = self._exclusive_limit() if is_idle else 0.0
         return self.grants.distribute(
             self.free,
             headroom=self.headroom,
-            lone_limit=lone_limit,
+            exclusive_limit=exclusive_limit,
         )
 
     async def admit(self, request, *, entry):
-        """Take a request into flight, or refuse it.
+        """Admit a request and count it as in flight, or reject it.
 
         Parameters
         ----------
@@ -165,121 +184,147 @@
         Returns
         -------
         work : EndpointWork
-            What `track` is to be entered with.
+            The admitted request, to be passed to `track`.
 
         Raises
         ------
         MagnoliagradeError
-            `NOT_RUN` if the endpoint would bear more than its limit.
+            `NOT_RUN` if the request would exceed the endpoint's limit, if the
+            endpoint's load is unknown or it accepts no connections, or if the
+            endpoint does not begin to respond to earlier requests within a second.
 
         Notes
         -----
-        A request between the cold limit and the warm one runs alone while the boot
-        is not proven. The wait for the endpoint to begin its answers to others takes
-        milliseconds and ends after a second.
+        While the boot is not proven, a request whose cost lies between the cold limit
+        and the warm one is admitted only if nothing else is in flight and the newest
+        load report is at most 2 s old. The wait for the endpoint to begin its
+        responses to earlier requests takes milliseconds and ends after a second.
         """
-        waits_until = self._clock.monotonic() + PACE_LIMIT_S
+        deadline = self._clock.monotonic() + MAX_ADMISSION_WAIT_S
         while True:
-            self._check_room(request, entry)
-            if self._is_paced(request.cost):
+            self._check_capacity(request, entry)
+            if self._is_within_unconfirmed_limit(request.cost):
                 return self._begin(request, entry)
-            if self._clock.monotonic() >= waits_until:
-                self._refuse("pace", "the endpoint does not begin its answers")
-            await self._clock.sleep(PACE_POLL_S)
+            if self._clock.monotonic() >= deadline:
+                self._reject(
+                    "pace", "the endpoint has not begun to respond to earlier requests"
+                )
+            await self._clock.sleep(ADMISSION_POLL_S)
 
     @contextlib.contextmanager
     def track(self, work):
-        """Follow admitted work until it ends, and learn from how it does."""
+        """Track admitted work until it ends, and update the limit by its outcome.
+
+        Parameters
+        ----------
+        work : EndpointWork
+            Return value of `admit`.
+
+        Raises
+        ------
+        MagnoliagradeError
+            Any error of the block, after the work has been removed.
+        """
         try:
             yield work
         except MagnoliagradeError as exc:
             self._end(work)
-            if exc.kind in BREAKING_KINDS:
+            if exc.kind in POSSIBLE_RESTART_KINDS:
                 self._on_broken(work, has_sent=exc.kind is not ErrorKind.NOT_RUN)
             raise
         finally:
             if work.ended_at is None:
                 self._end(work)
                 self._on_ended(work)
-            self._publish()
+            self._update_gauges()
             if self.on_capacity_freed is not None:
                 self.on_capacity_freed()
 
     def confirm(self, work):
-        """Note that the endpoint has begun to answer."""
+        """Record that the endpoint has begun to respond to a request."""
         work.confirmed_at = self._clock.monotonic()
         self.continuity.on_confirmed(work.epoch, at=work.confirmed_at)
 
-    def note_chunk(self, work, part):
-        """Note a part of an answer's body."""
-        work.note_chunk(part, at=self._clock.monotonic())
+    def note_chunk(self, work, chunk):
+        """Record the arrival of a chunk of a response body."""
+        work.note_chunk(chunk, at=self._clock.monotonic())
 
     def on_report(self, report, *, requested_at):
-        """Take a load report of the engine.
+        """Update the ledger from a load report of the engine.
 
         Parameters
         ----------
         report : LoadReport
             The report.
         requested_at : float
-            Monotonic time at which it was asked for.
+            Monotonic time, in seconds, at which it was requested.
         """
         now = self._clock.monotonic()
         snapshot_at = requested_at - report.age_s
-        self._reported_at = snapshot_at
+        self._snapshot_at = snapshot_at
         if self.continuity.on_report(report.boot_id, snapshot_at=snapshot_at):
             self.reset_to_cold_limit("boot-changed")
-        if not self._is_known and snapshot_at >= self._started_at:
-            self._is_known = True
-            own = sum(w.cost for w in self._followed.values())
-            self.residue.add(max(0.0, report.tokens_in_flight - own))
-        self.residue.on_report(
+        if not self._is_load_known and snapshot_at >= self._started_at:
+            self._is_load_known = True
+            tracked_cost = sum(w.cost for w in self._tracked.values())
+            self.untracked.add(max(0.0, report.tokens_in_flight - tracked_cost))
+        self.untracked.on_report(
             report.tokens_in_flight,
-            self._followed.values(),
+            self._tracked.values(),
             requested_at=requested_at,
-            answered_at=now,
+            received_at=now,
             age_s=report.age_s,
         )
-        self._publish()
+        self._update_gauges()
 
     def reset_to_cold_limit(self, reason):
-        """Drop the limit to the cold one and take unused credit back."""
+        """Reset the limit to the cold limit and revoke all unused credit.
+
+        Parameters
+        ----------
+        reason : str
+            Label of the metric and value of the log field.
+        """
         before = self.limit_policy.limit
         self.limit_policy.on_cold()
         self.continuity.on_cold()
         self.grants.revoke_all()
         self._note_change(before, reason)
 
-    def _check_room(self, request, entry):
-        if not self._is_known:
-            self._refuse("unknown", "the endpoint's load is not known yet")
+    def _check_capacity(self, request, entry):
+        if not self._is_load_known:
+            self._reject(
+                "unknown", "no load report has been made since the agent started"
+            )
         if self.is_blocked:
-            self._refuse("blocked", "the endpoint does not take connections")
-        if not self.held and self.limit < request.cost <= self._lone_limit():
+            self._reject("blocked", "the endpoint does not accept connections")
+        if not self.held and self.limit < request.cost <= self._exclusive_limit():
             return
-        own = min(request.cost, self.grants.reserved_for(entry))
-        others = self.grants.reserved - own if own < request.cost else 0.0
-        would_be = self.held + request.cost + others
-        if would_be > self.limit:
-            detail = f"cost {request.cost} would make {would_be} of {self.limit}"
-            self._refuse("limit", detail)
-
-    def _lone_limit(self):
-        is_fresh = self._clock.monotonic() - self._reported_at <= FRESH_S
-        if self._has_reports and not is_fresh:
+        credit = min(request.cost, self.grants.reserved_for(entry))
+        others = self.grants.reserved - credit if credit < request.cost else 0.0
+        total = self.held + request.cost + others
+        if total > self.limit:
+            detail = f"cost {request.cost} would make {total}, limit is {self.limit}"
+            self._reject("limit", detail)
+
+    def _exclusive_limit(self):
+        is_recent = self._clock.monotonic() - self._snapshot_at <= MAX_REPORT_AGE_S
+        if self._has_reports and not is_recent:
             return self.limit
         return self.limit_policy.limit
 
-    def _refuse(self, reason, detail):
-        REFUSALS.labels(reason).inc()
-        raise MagnoliagradeError(ErrorKind.NOT_RUN, detail, retry_after=REFUSED_RETRY_S)
+    def _reject(self, reason, detail):
+        REJECTIONS.labels(reason).inc()
+        raise MagnoliagradeError(
+            ErrorKind.NOT_RUN, detail, retry_after=REJECTED_RETRY_AFTER_S
+        )
 
-    def _is_paced(self, cost):
-        since = self._clock.monotonic() - CONFIRM_S
+    def _is_within_unconfirmed_limit(self, cost):
+        oldest_start = self._clock.monotonic() - CONFIRMATION_TIMEOUT_S
         unconfirmed = sum(
             w.cost
-            for w in self._followed.values()
-            if w.confirmed_at is None and w.started_at > since
+            for w in self._tracked.values()
+            if w.confirmed_at is None and w.started_at > oldest_start
         )
         if not unconfirmed:
             return True
@@ -295,41 +340,42 @@
             started_at=self._clock.monotonic(),
         )
         self.in_flight += work.cost
-        self._followed[id(work)] = work
-        self._note_use()
-        self._publish()
+        self._tracked[id(work)] = work
+        self._mark_in_use()
+        self._update_gauges()
         return work
 
-    def _note_use(self):
+    def _mark_in_use(self):
         if self.in_flight < 0.5 * self.limit_policy.limit:
             return
-        for work in self._followed.values():
+        for work in self._tracked.values():
             work.was_in_use = True
 
     def _end(self, work):
         work.ended_at = self._clock.monotonic()
-        del self._followed[id(work)]
+        del self._tracked[id(work)]
         self.in_flight -= work.cost
         if work.confirmed_at is not None:
             self.continuity.on_ended(work.epoch)
-        self.residue.note_ended(work)
+        self.untracked.note_ended(work)
 
     def _on_broken(self, work, *, has_sent):
-        # The connection may have been cut while the engine goes on.
+        # The connection may have broken while the engine continues the request.
         if has_sent:
-            self.residue.add(work.cost)
+            self.untracked.add(work.cost)
         if work.epoch == self.continuity.epoch:
             self.reset_to_cold_limit("connection-broken")
 
     def _on_ended(self, work):
         if work.is_complete:
-            self._on_whole(work)
+            self._on_completed(work)
         else:
-            self.residue.add(work.cost)
+            self.untracked.add(work.cost)
 
-    def _on_whole(self, work):
+    def _on_completed(self, work):
         if work.has_failed or work.epoch != self.continuity.epoch:
-            # A failure is no evidence, and neither is an answer of the boot before.
+            # A server error is no evidence of capacity, and neither is a response of an
+            # earlier boot.
             return
         before = self.limit_policy.limit
         reason = self.limit_policy.on_completion(work.completion())
@@ -344,8 +390,8 @@
         if reason != "evidence":
             log_event(_log, "limit.changed", before=before, after=after, reason=reason)
 
-    def _publish(self):
+    def _update_gauges(self):
         LIMIT.set(self.limit)
         IN_FLIGHT.set(self.in_flight)
         RESERVED.set(self.grants.reserved)
-        UNTRACKED_COST.set(self.residue.cost)
+        UNTRACKED_COST.set(self.untracked.cost)
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/limits.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/limits.py
@@ -12,60 +12,67 @@
 
 @dataclass(slots=True, kw_only=True)
 class Completion:
-    """What a whole answer shows about its endpoint.
+    """Measurements of one request that the endpoint completed.
 
     Parameters
     ----------
     tokens : int
         Tokens that were generated; 1 for a service call.
     first_byte_s : float
-        Time from sending the request to the first byte of the body.
+        Time from sending the request to the first byte of the body; 0 if the
+        response was not streamed.
     token_s : float
-        Mean time for each token after the first byte; whole time for a service.
+        Mean time for each token after the first byte; total time for a service call.
     was_in_use : bool
-        Whether the limit was at least half used while the request ran.
-    at : float
-        Monotonic time of the end.
+        Whether the limit was at least half used at any time during the request.
+    ended_at : float
+        Monotonic time of the end, in seconds.
     """
 
     tokens: int
     first_byte_s: float
     token_s: float
     was_in_use: bool
-    at: float
+    ended_at: float
 
 
 class LimitPolicy(Protocol):
-    """What decides the limit of one endpoint.
+    """Interface of a policy that sets the limit of one endpoint.
 
     Attributes
     ----------
     limit : float
         Cost that may be in flight now.
     cold_limit : float
-        Cost that the endpoint bears right after its start.
+        Cost that the endpoint can sustain right after its start.
     """
 
     limit: float
     cold_limit: float
 
     def configure(self, *, cold_limit, full_limit, options):
-        """Take the bounds and options of the endpoint's pool."""
+        """Set the bounds and options from the endpoint's pool."""
 
     def on_cold(self):
-        """Note that the endpoint has turned cold."""
+        """Reset the limit to the cold limit, because the endpoint may be cold."""
 
     def on_completion(self, completion):
-        """Learn from a whole answer; return why the limit changed, or nothing."""
+        """Update the limit from a completed request.
+
+        Returns
+        -------
+        reason : str
+            Why the limit changed; empty if it did not.
+        """
 
 
 class FixedLimit:
-    """Baseline: a constant limit.
+    """Constant limit, the baseline that adaptive policies are compared with.
 
     Parameters
     ----------
     is_full : bool
-        Whether the limit is the pool's full limit instead of its cold one.
+        Whether the limit is the pool's full limit instead of its cold limit.
     """
 
     __slots__ = ("_is_full", "cold_limit", "limit")
@@ -76,15 +83,15 @@
         self.limit = 1.0
 
     def configure(self, *, cold_limit, full_limit, options):
-        """Take the constant from the endpoint's pool."""
+        """Set the constant from the endpoint's pool."""
         self.limit = float(full_limit if self._is_full else cold_limit)
         self.cold_limit = self.limit
 
     def on_cold(self):
-        """Change nothing."""
+        """Leave the limit unchanged."""
 
     def on_completion(self, completion):
-        """Learn nothing."""
+        """Return an empty reason: the limit never changes."""
         return ""
 
 
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/tests/test_evidence.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/tests/test_evidence.py
@@ -4,9 +4,13 @@
 from magnoliagrade_agent.capacity import Completion, EvidenceLimit
 
 
-def _completion(at=0.0, *, tokens=100, token_s=0.005, first=0.02, used=True):
+def _completion(ended_at=0.0, *, tokens=100, token_s=0.005, first=0.02, used=True):
     return Completion(
-        tokens=tokens, first_byte_s=first, token_s=token_s, was_in_use=used, at=at
+        tokens=tokens,
+        first_byte_s=first,
+        token_s=token_s,
+        was_in_use=used,
+        ended_at=ended_at,
     )
 
 
@@ -16,7 +20,7 @@
     return policy
 
 
-def test_limit_grows_only_while_it_is_in_use():
+def test_limit_grows_only_while_at_least_half_used():
     policy = _policy()
     policy.on_completion(_completion(used=False))
     assert policy.limit == 600
@@ -24,14 +28,14 @@
     assert policy.limit == 600 + 100 / 1.5
 
 
-def test_option_sets_the_tokens_to_the_full_limit():
+def test_option_sets_the_tokens_that_raise_the_limit_to_full():
     policy = _policy(**{"option.limit.tokens_to_full": "1000"})
     for _ in range(10):
         policy.on_completion(_completion())
     assert policy.limit == 6000
 
 
-def test_growth_halves_after_a_fall_and_comes_back_at_the_full_limit():
+def test_growth_halves_after_cold_and_doubles_at_the_full_limit():
     policy = _policy()
     policy.on_completion(_completion(tokens=150))
     assert policy.limit == 700
@@ -44,7 +48,7 @@
     assert policy.limit == 650
 
 
-def test_departing_latency_shrinks_once_a_second():
+def test_risen_token_latency_shrinks_the_limit_once_a_second():
     policy = _policy()
     for i in range(400):
         policy.on_completion(_completion(i))
@@ -55,7 +59,7 @@
     assert policy.on_completion(_completion(600, token_s=0.05)) == "latency"
 
 
-def test_first_tokens_far_off_their_trend_mean_cold():
+def test_three_late_first_tokens_in_a_row_reset_the_limit():
     policy = _policy()
     for i in range(400):
         policy.on_completion(_completion(i))
@@ -75,17 +79,17 @@
         max_size=80,
     )
 )
-def test_limit_stays_within_bounds_and_below_the_evidence(steps):
+def test_limit_stays_within_bounds_and_below_the_tokens_generated(steps):
     policy = _policy()
-    shown = 0
+    tokens_since_cold = 0
     for i, (kind, tokens, token_s, first) in enumerate(steps):
         if kind == 3:
             policy.on_cold()
-            shown = 0
+            tokens_since_cold = 0
             assert policy.limit == 600
             continue
-        shown += tokens
+        tokens_since_cold += tokens
         policy.on_completion(
             _completion(i, tokens=tokens, token_s=token_s, first=first, used=kind)
         )
-        assert 600 <= policy.limit <= min(6000, 600 + shown / 1.5 + 1e-6)
+        assert 600 <= policy.limit <= min(6000, 600 + tokens_since_cold / 1.5 + 1e-6)
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/work.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/work.py
@@ -1,4 +1,4 @@
-"""One request that the endpoint works on, as its agent follows it."""
+"""One request that the endpoint processes, as tracked by its agent."""
 
 from dataclasses import dataclass
 
@@ -6,17 +6,17 @@
 
 __all__ = ["EndpointWork"]
 
-EVENT_MARK = b"data:"
+SSE_DATA_PREFIX = b"data:"
 
 
 @dataclass(slots=True, kw_only=True)
 class EndpointWork:
-    """One request between its sending and its end.
+    """State of one request from its sending to its end.
 
     Parameters
     ----------
     cost : float
-        Cost that it holds.
+        Cost that counts against the limit.
     output_tokens : int
         Tokens that it may generate; 0 for services.
     entry : str
@@ -24,21 +24,21 @@
     epoch : int
         Epoch of the endpoint's boot when it was sent.
     started_at : float
-        Monotonic time of sending.
+        Monotonic time of sending, in seconds.
     confirmed_at : float, optional
-        When the endpoint's answer began.
+        Monotonic time at which the endpoint began to respond.
     first_byte_at : float, optional
-        When the first byte of the body came.
+        Monotonic time of the first byte of the body.
     ended_at : float, optional
-        When the agent stopped following it.
+        Monotonic time at which the agent stopped tracking it.
     events : int
-        Server-sent events seen.
+        Server-sent events received.
     was_in_use : bool
-        Whether the limit was at least half used meanwhile.
+        Whether the limit was at least half used at any time during the request.
     is_complete : bool
-        Whether the whole answer came.
+        Whether the complete response was received.
     has_failed : bool
-        Whether the endpoint answered that it failed.
+        Whether the endpoint responded with a server error.
     """
 
     cost: float
@@ -54,24 +54,24 @@
     is_complete: bool = False
     has_failed: bool = False
 
-    def note_chunk(self, part, *, at):
-        """Note a part of the body."""
+    def note_chunk(self, chunk, *, at):
+        """Record the arrival of a chunk of the body and count its events."""
         if self.first_byte_at is None:
             self.first_byte_at = at
-        self.events += part.count(EVENT_MARK)
+        self.events += chunk.count(SSE_DATA_PREFIX)
 
     def completion(self):
-        """Return what the whole answer shows."""
-        first = self.first_byte_at or self.ended_at
+        """Return the measurements of this request after its complete response."""
+        first_byte_at = self.first_byte_at or self.ended_at
         is_stream = self.events > 1
         tokens = self.output_tokens or 1
         if is_stream:
             tokens = min(tokens, self.events)
-        begin = first if is_stream else self.started_at
+        generation_began_at = first_byte_at if is_stream else self.started_at
         return Completion(
             tokens=tokens,
-            first_byte_s=first - self.started_at if is_stream else 0.0,
-            token_s=(self.ended_at - begin) / tokens,
+            first_byte_s=first_byte_at - self.started_at if is_stream else 0.0,
+            token_s=(self.ended_at - generation_began_at) / tokens,
             was_in_use=self.was_in_use,
-            at=self.ended_at,
+            ended_at=self.ended_at,
         )
