--- a/packages/magnoliagrade/magnoliagrade/algorithms/__init__.py
+++ b/packages/magnoliagrade/magnoliagrade/algorithms/__init__.py
@@ -1,4 +1,4 @@
-"""Plain algorithms over plain data."""
+"""Algorithms without I/O: fair queueing, hashing, label selectors, token buckets."""
 
 from magnoliagrade.algorithms.fair_queue import FairQueue, QueueItem
 from magnoliagrade.algorithms.hashing import hash64, rendezvous_order
--- a/packages/magnoliagrade/magnoliagrade/algorithms/balance/__init__.py
+++ b/packages/magnoliagrade/magnoliagrade/algorithms/balance/__init__.py
@@ -1,4 +1,4 @@
-"""Balance of an expert-parallel group: counts, speeds, placements, policies."""
+"""Load balancing in an expert-parallel group: estimates, placements and policies."""
 
 from magnoliagrade.algorithms.balance.budget import rebalancing_rate
 from magnoliagrade.algorithms.balance.counts import ExpertCounter
--- a/packages/magnoliagrade/magnoliagrade/algorithms/balance/budget.py
+++ b/packages/magnoliagrade/magnoliagrade/algorithms/balance/budget.py
@@ -1,21 +1,28 @@
-"""The part of a data centre's weight-store rate that one group may use."""
+"""Share of a data centre's weight-store rate that one group may use."""
 
 __all__ = ["rebalancing_rate"]
 
 
 def rebalancing_rate(*, store_bytes_per_s, share, groups, cold_starts=0):
-    """Return the rate in bytes a second at which a group may load experts.
+    """Return the rate in bytes per second at which a group may load experts.
 
     Parameters
     ----------
     store_bytes_per_s : float
-        Rate of the weight store in the data centre.
+        Rate of the data centre's weight store.
     share : float
-        Part of it that rebalancing may use at all; the rest is for model loads.
+        Part of that rate, from 0 to 1, that rebalancing may use; the rest is for
+        model loads.
     groups : int
-        Groups of the data centre, which share that part evenly.
+        Number of groups in the data centre, which share that part evenly.
     cold_starts : int
-        Endpoints that load a model now; while there are any, rebalancing waits.
+        Number of endpoints that are loading a model. If there are any, rebalancing
+        may not load experts.
+
+    Returns
+    -------
+    rate : float
+        Rate in bytes per second; 0 during cold starts.
 
     Examples
     --------
--- a/packages/magnoliagrade/magnoliagrade/algorithms/balance/counts.py
+++ b/packages/magnoliagrade/magnoliagrade/algorithms/balance/counts.py
@@ -1,4 +1,4 @@
-"""Decayed token counts per layer and expert from reports with lags and gaps."""
+"""Decayed token counts per layer and expert, from reports that may be late or lost."""
 
 import numpy as np
 
@@ -6,22 +6,22 @@
 
 
 class ExpertCounter:
-    """Estimate of the tokens that each expert gets.
+    """Estimates the rate of tokens that each expert receives.
 
     Parameters
     ----------
     layers : int
-        Layers with experts.
+        Number of layers with experts.
     experts : int
-        Experts in each layer.
+        Number of experts in each layer.
     half_life_s : float
-        Age in seconds at which a report weighs half.
+        Age in seconds at which the weight of a report has halved.
 
     Notes
     -----
-    Both the tokens and the time that they were counted over decay. A report that
-    is lost therefore takes nothing off the estimate, and one that comes twice or
-    late, by its sequence number, is counted once.
+    The tokens decay together with the time over which they were counted, so a lost
+    report does not lower the estimate. Sequence numbers ensure that no report is
+    counted twice: one that is not newer than the last from its rank is ignored.
     """
 
     __slots__ = ("_at", "_half_life_s", "_sequence_by_rank", "_tokens", "_weight_s")
@@ -35,29 +35,29 @@
 
     @property
     def has_counts(self):
-        """Whether any report has come."""
+        """Whether any report has been counted."""
         return self._weight_s > 0
 
     def add(self, counts, *, rank, sequence, interval_s, now):
-        """Add one rank's counts of an interval.
+        """Add the tokens that one rank counted in an interval.
 
         Parameters
         ----------
         counts : ndarray of shape (layers, experts)
             Tokens that the rank sent to each expert.
         rank : int
-            Who counted.
+            Rank that counted.
         sequence : int
-            Number of the report, from 1.
+            Sequence number of the rank's report, from 1.
         interval_s : float
-            Seconds that were counted.
+            Length of the interval in seconds.
         now : float
             Monotonic time in seconds.
 
         Returns
         -------
-        taken : bool
-            False for a report that is no newer than one before it.
+        is_counted : bool
+            False for a report that is not newer than the last from this rank.
         """
         if sequence <= self._sequence_by_rank.get(rank, 0):
             return False
@@ -68,12 +68,12 @@
         return True
 
     def rates(self):
-        """Return tokens a second by layer and expert, as one rank counts them.
+        """Return the mean tokens per second that a rank counts, by layer and expert.
 
         Returns
         -------
         rates : ndarray of shape (layers, experts)
-            All equal to one before the first report.
+            All equal to 1 before the first report.
         """
         if not self.has_counts:
             return np.ones_like(self._tokens)
--- a/packages/magnoliagrade/magnoliagrade/algorithms/balance/placement.py
+++ b/packages/magnoliagrade/magnoliagrade/algorithms/balance/placement.py
@@ -1,4 +1,4 @@
-"""Placements of experts as arrays, their loads and their packed form."""
+"""Placements of experts on ranks as arrays, their load and binary encoding."""
 
 import struct
 
@@ -20,24 +20,25 @@
 
 
 def initial_placement(*, layers, ranks, experts, slots):
-    """Return the placement that knows nothing of popularity.
+    """Return a placement that assumes equally popular experts.
 
     Parameters
     ----------
     layers, ranks, experts : int
-        Sizes.
+        Numbers of layers, of ranks, and of experts in each layer.
     slots : int
-        Experts of a layer that a rank holds at most.
+        Maximum number of experts of a layer on one rank.
 
     Returns
     -------
     placement : ndarray of bool, shape (layers, ranks, experts)
-        Experts in contiguous blocks, spare slots with the next ones.
+        Each rank has a contiguous block of experts; spare slots hold replicas of the
+        experts that follow the block.
 
     Raises
     ------
     MagnoliagradeError
-        `CONFIGURATION_INVALID` if the experts do not fit.
+        `CONFIGURATION_INVALID` if there are fewer slots than experts.
 
     Examples
     --------
@@ -49,10 +50,10 @@
         detail = f"{experts} experts do not fit into {ranks} ranks of {slots} slots"
         raise MagnoliagradeError(ErrorKind.CONFIGURATION_INVALID, detail)
     placement = np.zeros((layers, ranks, experts), dtype=bool)
-    first = np.arange(experts) * ranks // experts
-    placement[:, first, np.arange(experts)] = True
+    home_rank = np.arange(experts) * ranks // experts
+    placement[:, home_rank, np.arange(experts)] = True
     for rank in range(ranks):
-        start = int(np.argmax(first == rank))
+        start = int(np.argmax(home_rank == rank))
         for i in range(min(slots, experts)):
             if placement[0, rank].sum() < slots:
                 placement[:, rank, (start + i) % experts] = True
@@ -60,33 +61,33 @@
 
 
 def rank_times(placement, rates, speeds):
-    """Return the work of each rank in each layer.
+    """Return the time that each rank needs in each layer.
 
     Parameters
     ----------
     placement : ndarray of bool, shape (layers, ranks, experts)
-        Placement.
+        Placement of the experts.
     rates : ndarray of shape (layers, experts)
-        Tokens of each expert.
+        Tokens per unit of time that each expert processes.
     speeds : ndarray of shape (ranks,)
-        Speed of each rank.
+        Relative speed of each rank.
 
     Returns
     -------
     times : ndarray of shape (layers, ranks)
-        Tokens over speed; the replicas of an expert share its tokens evenly.
+        Tokens divided by speed. The replicas of an expert share its tokens evenly.
     """
     shares = rates / placement.sum(axis=1)
     return np.einsum("lre,le->lr", placement, shares) / speeds
 
 
 def step_time(times):
-    """Return the length of a step in which all wait for the slowest in each layer."""
+    """Return the time of a step; in each layer, all ranks wait for the slowest."""
     return float(times.max(axis=1).sum())
 
 
 def skew(times):
-    """Return the slowest over the mean time of ranks, layer by layer.
+    """Return the slowest rank's time divided by the mean, each summed over the layers.
 
     Examples
     --------
@@ -97,22 +98,22 @@
 
 
 def count_transfers(old, new):
-    """Return how many experts ranks must load to go from one placement to another."""
+    """Return the number of experts that ranks must load to change the placement."""
     return int((new & ~old).sum())
 
 
 def pack_placement(placement):
-    """Return a placement as bytes: sizes, then one bit for each place."""
+    """Return a placement as bytes: its shape, then one bit per rank and expert."""
     return _HEADER.pack(*placement.shape) + np.packbits(placement).tobytes()
 
 
 def unpack_placement(data):
-    """Return the placement that bytes hold.
+    """Return the placement that `pack_placement` encoded.
 
     Raises
     ------
     MagnoliagradeError
-        `WIRE_INVALID` if the bytes are too few.
+        `WIRE_INVALID` if the data is too short to hold the shape.
     """
     try:
         shape = _HEADER.unpack_from(data)
@@ -120,5 +121,5 @@
         bits = np.frombuffer(data, dtype=np.uint8, offset=_HEADER.size)
         return np.unpackbits(bits, count=size).astype(bool).reshape(shape)
     except (struct.error, ValueError) as exc:
-        detail = f"{len(data)} bytes hold no placement"
+        detail = f"placement truncated: got {len(data)} bytes"
         raise MagnoliagradeError(ErrorKind.WIRE_INVALID, detail) from exc
--- a/packages/magnoliagrade/magnoliagrade/algorithms/balance/placement_changes.py
+++ b/packages/magnoliagrade/magnoliagrade/algorithms/balance/placement_changes.py
@@ -1,4 +1,4 @@
-"""Few moves from today's placement towards balance."""
+"""Single changes of a layer's placement that shorten its step."""
 
 from dataclasses import dataclass
 
@@ -6,15 +6,17 @@
 
 __all__ = ["PlacementChange", "apply_change", "best_change"]
 
-HOT_EXPERTS = 4
-COOL_RANKS = 4
-SWAPS = 3
-NORM_POWER = 16
+# Bounds of the search for one change: most loaded experts of the slowest rank, fastest
+# ranks that may load one, and swaps with each of these ranks.
+MAX_EXPERTS_TRIED = 4
+MAX_TARGET_RANKS_TRIED = 4
+MAX_SWAPS_TRIED = 3
+POWER_MEAN_EXPONENT = 16
 
 
 @dataclass(slots=True, kw_only=True)
 class PlacementChange:
-    """Experts that enter and leave ranks in one layer.
+    """Experts that ranks load and drop in one layer.
 
     Parameters
     ----------
@@ -23,7 +25,7 @@
     dropped : tuple of tuple of int
         Pairs of rank and expert to drop.
     gain : float
-        Time that the layer's step loses, in the unit of the rates.
+        Reduction of the power mean of the ranks' times, in the unit of the rates.
     """
 
     added: tuple
@@ -32,65 +34,67 @@
 
     @property
     def gain_per_transfer(self):
-        """Return the gain for each expert to be loaded."""
+        """Return the gain divided by the number of experts to load."""
         return self.gain / len(self.added)
 
 
-def apply_change(placement, move):
-    """Carry a move out on one layer's placement, in place."""
-    for rank, expert in move.dropped:
+def apply_change(placement, change):
+    """Apply a change to one layer's placement, in place."""
+    for rank, expert in change.dropped:
         placement[rank, expert] = False
-    for rank, expert in move.added:
+    for rank, expert in change.added:
         placement[rank, expert] = True
 
 
 def best_change(placement, rates, *, speeds, slots, may_load=None):
-    """Return the move that shortens a layer most for each expert loaded.
+    """Return the change that shortens a layer's step most per expert loaded.
 
     Parameters
     ----------
     placement : ndarray of bool, shape (ranks, experts)
         Placement of the layer.
     rates : ndarray of shape (experts,)
-        Tokens of each expert.
+        Tokens per unit of time that each expert processes.
     speeds : ndarray of shape (ranks,)
-        Speed of each rank.
+        Relative speed of each rank.
     slots : int
-        Experts that a rank holds at most.
+        Maximum number of experts on one rank.
     may_load : ndarray of bool, shape (ranks,), optional
-        Ranks that may load another expert; all by default.
+        Ranks that may load experts; all by default.
 
     Returns
     -------
-    move : PlacementChange or None
-        None if nothing helps.
+    change : PlacementChange or None
+        None if no candidate shortens the step.
 
     Notes
     -----
-    Looks at the hottest experts of the slowest rank and at the fastest ranks:
-    another replica there, a move there, or a swap with one of theirs. Moves are
-    compared by a power mean of the ranks' times, which falls also while two ranks
-    are equally slow.
+    The candidates pair the most loaded experts of the slowest rank with the fastest
+    ranks: load a further replica there, move an expert there, or swap it with one of
+    theirs. They are compared by a power mean of the ranks' times. Unlike the maximum,
+    it decreases also if another rank is equally slow.
     """
     replicas = placement.sum(axis=0)
     loads = placement @ (rates / replicas)
     times = loads / speeds
-    hot = int(np.argmax(times))
-    order = np.argsort(times, kind="stable")
+    slowest = int(np.argmax(times))
+    by_time = np.argsort(times, kind="stable")
     if may_load is None:
         may_load = np.ones(len(times), dtype=bool)
-    cool = [int(r) for r in order if r != hot and may_load[r]][:COOL_RANKS]
-    held = np.flatnonzero(placement[hot])
+    target_ranks = [int(r) for r in by_time if r != slowest and may_load[r]][
+        :MAX_TARGET_RANKS_TRIED
+    ]
+    held = np.flatnonzero(placement[slowest])
     shares = rates / replicas
-    hottest = held[np.argsort(-shares[held], kind="stable")]
+    most_loaded = held[np.argsort(-shares[held], kind="stable")]
     candidates = []
-    for rank in cool:
+    for rank in target_ranks:
         candidates += _replications(
-            placement, shares, hottest[:HOT_EXPERTS], rank, slots
+            placement, shares, most_loaded[:MAX_EXPERTS_TRIED], rank, slots
         )
-        candidates += _transfers(placement, shares, times, hot, rank, slots)
-    if not may_load[hot]:
-        candidates = [c for c in candidates if all(r != hot for r, _ in c[0])]
+        candidates += _moves_and_swaps(placement, shares, times, slowest, rank, slots)
+    if not may_load[slowest]:
+        candidates = [c for c in candidates if all(r != slowest for r, _ in c[0])]
     return _choose(placement, rates, speeds, candidates)
 
 
@@ -100,8 +104,8 @@
         spare = np.flatnonzero(placement[rank] & (placement.sum(axis=0) > 1))
         if not len(spare):
             return []
-        victim = int(spare[np.argmin(shares[spare])])
-        dropped = ((rank, victim),)
+        evicted = int(spare[np.argmin(shares[spare])])
+        dropped = ((rank, evicted),)
     return [
         (((rank, int(expert)),), dropped)
         for expert in experts
@@ -109,42 +113,46 @@
     ]
 
 
-def _transfers(placement, shares, times, hot, rank, slots):
-    movable = np.flatnonzero(placement[hot] & ~placement[rank])
+def _moves_and_swaps(placement, shares, times, slowest, rank, slots):
+    movable = np.flatnonzero(placement[slowest] & ~placement[rank])
     if not len(movable):
         return []
-    wanted = (times[hot] - times[rank]) / 2
+    target_difference = (times[slowest] - times[rank]) / 2
     if placement[rank].sum() < slots:
-        nearest = movable[np.argmin(np.abs(shares[movable] - wanted))]
+        nearest = movable[np.argmin(np.abs(shares[movable] - target_difference))]
         expert = int(nearest)
-        return [(((rank, expert),), ((hot, expert),))]
-    counterparts = np.flatnonzero(placement[rank] & ~placement[hot])
+        return [(((rank, expert),), ((slowest, expert),))]
+    counterparts = np.flatnonzero(placement[rank] & ~placement[slowest])
     differences = shares[movable][:, None] - shares[counterparts][None, :]
-    nearest = np.argsort(np.abs(differences - wanted), axis=None)[:SWAPS]
+    nearest = np.argsort(np.abs(differences - target_difference), axis=None)[
+        :MAX_SWAPS_TRIED
+    ]
     rows, columns = np.unravel_index(nearest, differences.shape)
     return [
         (
-            ((rank, int(movable[i])), (hot, int(counterparts[j]))),
-            ((hot, int(movable[i])), (rank, int(counterparts[j]))),
+            ((rank, int(movable[i])), (slowest, int(counterparts[j]))),
+            ((slowest, int(movable[i])), (rank, int(counterparts[j]))),
         )
         for i, j in zip(rows, columns, strict=True)
     ]
 
 
 def _choose(placement, rates, speeds, candidates):
-    before = _norm(_times_after(placement, rates, speeds, ((), ())))
+    before = _power_mean(_rank_times_after(placement, rates, speeds, ((), ())))
     best = None
     for added, dropped in candidates:
-        after = _norm(_times_after(placement, rates, speeds, (added, dropped)))
-        move = PlacementChange(added=added, dropped=dropped, gain=before - after)
-        if move.gain <= 0:
+        after = _power_mean(
+            _rank_times_after(placement, rates, speeds, (added, dropped))
+        )
+        change = PlacementChange(added=added, dropped=dropped, gain=before - after)
+        if change.gain <= 0:
             continue
-        if best is None or move.gain_per_transfer > best.gain_per_transfer:
-            best = move
+        if best is None or change.gain_per_transfer > best.gain_per_transfer:
+            best = change
     return best
 
 
-def _times_after(placement, rates, speeds, change):
+def _rank_times_after(placement, rates, speeds, change):
     added, dropped = change
     changed = placement
     if added:
@@ -156,8 +164,11 @@
     return changed @ (rates / changed.sum(axis=0)) / speeds
 
 
-def _norm(times):
-    peak = times.max()
-    if peak <= 0:
+def _power_mean(times):
+    longest = times.max()
+    if longest <= 0:
         return 0.0
-    return float(peak * np.mean((times / peak) ** NORM_POWER) ** (1 / NORM_POWER))
+    return float(
+        longest
+        * np.mean((times / longest) ** POWER_MEAN_EXPONENT) ** (1 / POWER_MEAN_EXPONENT)
+    )
--- a/packages/magnoliagrade/magnoliagrade/algorithms/balance/policies.py
+++ b/packages/magnoliagrade/magnoliagrade/algorithms/balance/policies.py
@@ -19,31 +19,31 @@
 rebalancing_policies = Registry(family="rebalancing policy")
 
 SWITCH_COST_S = 0.5
-MAX_MOVES_PER_LAYER = 64
+MAX_CHANGES_PER_LAYER = 64
 
 
 @dataclass(slots=True, kw_only=True)
 class RebalancingInput:
-    """What a policy decides on.
+    """Inputs of a rebalancing policy.
 
     Parameters
     ----------
     placement : ndarray of bool, shape (layers, ranks, experts)
         Placement in force.
     rates : ndarray of shape (layers, experts)
-        Tokens a second of each expert.
+        Tokens per second that each expert processes.
     speeds : ndarray of shape (ranks,)
-        Speed of each rank.
+        Relative speed of each rank.
     slots : int
-        Experts of a layer that a rank holds at most.
+        Maximum number of experts of a layer on one rank.
     expert_bytes : int
-        Size of one expert of one layer.
+        Size in bytes of one expert of one layer.
     bytes_per_s : float
-        The group's part of the weight store's rate.
+        Rate in bytes per second at which the group may load experts.
     budget_bytes : float
-        Bytes that may be loaded for this plan.
+        Bytes that the plan may load.
     horizon_s : float
-        Time in seconds for which a better map is expected to stay better.
+        Time in seconds during which the gain of a new placement is expected to last.
     """
 
     placement: np.ndarray
@@ -56,26 +56,27 @@
     horizon_s: float
 
     def step_time(self, placement):
-        """Return the length of a step under a placement, in tokens of one rank."""
+        """Return the step time of a placement, in tokens of a rank of speed 1."""
         return step_time(rank_times(placement, self.rates, self.speeds))
 
 
 @dataclass(slots=True, kw_only=True)
 class Plan:
-    """A placement to change to, and why.
+    """A placement to change to, with its expected saving and cost.
 
     Parameters
     ----------
     placement : ndarray of bool, shape (layers, ranks, experts)
-        The placement.
+        Placement to change to.
     transfers : int
-        Experts to load.
+        Number of experts to load.
     saving_s : float
-        Seconds of the horizon that it is expected to save.
+        Seconds that it is expected to save within the horizon.
     cost_s : float
-        Seconds that the loads take at the group's rate, and the switch itself.
+        Seconds to load the experts at the group's rate, plus the cost of the switch.
     evaluations : int
-        Layers whose best move was looked for; the work of planning.
+        Number of searches for the best change of a layer, as a measure of the
+        planning effort.
     """
 
     placement: np.ndarray
@@ -86,112 +87,110 @@
 
 
 @rebalancing_policies.register("static")
-class StaticMap:
-    """The first map for ever."""
+class StaticPlacement:
+    """Keeps the initial placement."""
 
     __slots__ = ()
 
-    def plan(self, situation):
-        """Return None."""
+    def plan(self, inputs):
+        """Return None: there is never a placement to change to."""
         return None
 
 
 @rebalancing_policies.register("full-repack")
 class FullRepack:
-    """A new map from nothing at each interval."""
+    """Computes a new placement at each interval, regardless of the current one."""
 
     __slots__ = ()
 
-    def plan(self, situation):
-        """Return the placement that knows no earlier one."""
-        placement = repack(
-            situation.rates, speeds=situation.speeds, slots=situation.slots
-        )
-        return _plan_to(situation, placement)
+    def plan(self, inputs):
+        """Return the plan for a new placement, or None if nothing has to be loaded."""
+        placement = repack(inputs.rates, speeds=inputs.speeds, slots=inputs.slots)
+        return _plan_to(inputs, placement)
 
 
 @rebalancing_policies.register("greedy")
 class Greedy:
-    """Moves as long as they help, whatever they cost."""
+    """Applies every change that shortens a step, regardless of its cost."""
 
     __slots__ = ()
 
-    def plan(self, situation):
-        """Return the placement after all moves that shorten a layer."""
-        return _plan_by_moves(situation, least_gain=0.0, budget_bytes=np.inf)
+    def plan(self, inputs):
+        """Return the plan of all changes that shorten a layer's step, or None."""
+        return _plan_by_changes(inputs, least_gain=0.0, budget_bytes=np.inf)
 
 
 @rebalancing_policies.register("weighed")
 class CostAwareGreedy:
-    """Moves that are expected to save more than they cost, best first.
+    """Applies changes that are expected to save more time than they cost.
 
     Notes
     -----
-    A move is worth it if the part of the step that it saves, over the horizon,
-    exceeds the time to load its experts at the group's rate. Whatever the plan
-    saves in all must also exceed the cost of a switch. The moves of all layers
-    stand in one heap, so a budget goes to those that save most for each byte.
+    A change is accepted if the fraction of the step that it saves, times the horizon,
+    exceeds the time to load its experts at the group's rate. The saving of the plan
+    must also exceed its cost including the switch. The changes of all layers are
+    kept in one heap, so the budget is spent on those that save most per byte.
     """
 
     __slots__ = ()
 
-    def plan(self, situation):
-        """Return the placement after the moves that are worth it, or None."""
-        before = situation.step_time(situation.placement)
-        load_s = situation.expert_bytes / situation.bytes_per_s
-        least_gain = before * load_s / situation.horizon_s
-        plan = _plan_by_moves(
-            situation, least_gain=least_gain, budget_bytes=situation.budget_bytes
+    def plan(self, inputs):
+        """Return the plan of the accepted changes, or None if it does not pay off."""
+        before = inputs.step_time(inputs.placement)
+        load_time_s = inputs.expert_bytes / inputs.bytes_per_s
+        least_gain = before * load_time_s / inputs.horizon_s
+        plan = _plan_by_changes(
+            inputs, least_gain=least_gain, budget_bytes=inputs.budget_bytes
         )
         if plan is None or plan.saving_s <= plan.cost_s:
             return None
         return plan
 
 
-def _plan_by_moves(situation, *, least_gain, budget_bytes):
-    placement = situation.placement.copy()
-    left = budget_bytes / situation.expert_bytes
-    moves_left = np.full(len(placement), MAX_MOVES_PER_LAYER)
+def _plan_by_changes(inputs, *, least_gain, budget_bytes):
+    placement = inputs.placement.copy()
+    transfers_left = budget_bytes / inputs.expert_bytes
+    changes_left = np.full(len(placement), MAX_CHANGES_PER_LAYER)
     heap = []
     evaluations = 0
 
     def push(layer):
         nonlocal evaluations
         evaluations += 1
-        move = best_change(
+        change = best_change(
             placement[layer],
-            situation.rates[layer],
-            speeds=situation.speeds,
-            slots=situation.slots,
+            inputs.rates[layer],
+            speeds=inputs.speeds,
+            slots=inputs.slots,
         )
-        if move is not None and move.gain_per_transfer > least_gain:
-            heapq.heappush(heap, (-move.gain_per_transfer, layer, move))
+        if change is not None and change.gain_per_transfer > least_gain:
+            heapq.heappush(heap, (-change.gain_per_transfer, layer, change))
 
     for layer in range(len(placement)):
         push(layer)
     while heap:
-        _, layer, move = heapq.heappop(heap)
-        if len(move.added) > left:
+        _, layer, change = heapq.heappop(heap)
+        if len(change.added) > transfers_left:
             break
-        apply_change(placement[layer], move)
-        left -= len(move.added)
-        moves_left[layer] -= 1
-        if moves_left[layer]:
+        apply_change(placement[layer], change)
+        transfers_left -= len(change.added)
+        changes_left[layer] -= 1
+        if changes_left[layer]:
             push(layer)
-    return _plan_to(situation, placement, evaluations=evaluations)
+    return _plan_to(inputs, placement, evaluations=evaluations)
 
 
-def _plan_to(situation, placement, *, evaluations=0):
-    transfers = count_transfers(situation.placement, placement)
+def _plan_to(inputs, placement, *, evaluations=0):
+    transfers = count_transfers(inputs.placement, placement)
     if not transfers:
         return None
-    before = situation.step_time(situation.placement)
-    saved = 1 - situation.step_time(placement) / before
-    load_s = transfers * situation.expert_bytes / situation.bytes_per_s
+    before = inputs.step_time(inputs.placement)
+    saved = 1 - inputs.step_time(placement) / before
+    load_time_s = transfers * inputs.expert_bytes / inputs.bytes_per_s
     return Plan(
         placement=placement,
         transfers=transfers,
-        saving_s=saved * situation.horizon_s,
-        cost_s=load_s + SWITCH_COST_S,
+        saving_s=saved * inputs.horizon_s,
+        cost_s=load_time_s + SWITCH_COST_S,
         evaluations=evaluations,
     )
--- a/packages/magnoliagrade/magnoliagrade/algorithms/balance/repack.py
+++ b/packages/magnoliagrade/magnoliagrade/algorithms/balance/repack.py
@@ -1,4 +1,4 @@
-"""Placement from nothing: replicate hot experts, then longest time first."""
+"""New placement: replicate the most loaded experts, then pack largest share first."""
 
 import heapq
 
@@ -8,21 +8,21 @@
 
 
 def repack(rates, *, speeds, slots):
-    """Return a balanced placement that knows no earlier one.
+    """Return a balanced placement, computed without regard to the current one.
 
     Parameters
     ----------
     rates : ndarray of shape (layers, experts)
-        Tokens of each expert.
+        Tokens per unit of time that each expert processes.
     speeds : ndarray of shape (ranks,)
-        Speed of each rank.
+        Relative speed of each rank.
     slots : int
-        Experts of a layer that a rank holds at most.
+        Maximum number of experts of a layer on one rank.
 
     Returns
     -------
     placement : ndarray of bool, shape (layers, ranks, experts)
-        The placement.
+        Placement of the experts.
 
     Notes
     -----
@@ -53,14 +53,14 @@
 
 def _pack(placement, shares, replicas, speeds, slots):
     loads = np.zeros(len(speeds))
-    free = np.full(len(speeds), slots)
+    free_slots = np.full(len(speeds), slots)
     for expert in np.argsort(-shares, kind="stable"):
         for _ in range(replicas[expert]):
-            finish = (loads + shares[expert]) / speeds
-            finish[(free == 0) | placement[:, expert]] = np.inf
-            rank = int(np.argmin(finish))
-            if np.isinf(finish[rank]):
+            times_if_added = (loads + shares[expert]) / speeds
+            times_if_added[(free_slots == 0) | placement[:, expert]] = np.inf
+            rank = int(np.argmin(times_if_added))
+            if np.isinf(times_if_added[rank]):
                 break
             placement[rank, expert] = True
             loads[rank] += shares[expert]
-            free[rank] -= 1
+            free_slots[rank] -= 1
--- a/packages/magnoliagrade/magnoliagrade/algorithms/balance/speeds.py
+++ b/packages/magnoliagrade/magnoliagrade/algorithms/balance/speeds.py
@@ -1,55 +1,58 @@
-"""Speeds of ranks, told apart from the load of their experts."""
+"""Relative speeds of ranks, independent of the load of their experts."""
 
 import numpy as np
 
 __all__ = ["SpeedEstimator"]
 
-SLOW_BELOW = 0.93
+# Ranks above this speed count as normal, so that noise moves no experts.
+SLOW_RANK_MAX_SPEED = 0.93
 
 
 class SpeedEstimator:
-    """Estimate of each rank's speed against the median rank.
+    """Estimates the speed of each rank relative to the median rank.
 
     Parameters
     ----------
     ranks : int
         Number of ranks.
     weight : float
-        Weight of a new sample, between 0 and 1.
+        Weight of a new sample in the moving average, between 0 and 1.
 
     Notes
     -----
-    A rank that takes long because its experts are hot has a normal time per token;
-    a slow accelerator takes longer for each token. Ranks near the median count as
-    equally fast, so that noise moves no experts.
+    The estimate uses the time per token. It is normal on a rank that takes long only
+    because its experts receive many tokens, and higher on a slow accelerator. Ranks
+    near the median count as equally fast, so that noise moves no experts.
     """
 
-    __slots__ = ("_cost_by_rank", "_weight")
+    __slots__ = ("_s_per_token_by_rank", "_weight")
 
     def __init__(self, *, ranks, weight=0.2):
-        self._cost_by_rank = np.zeros(ranks)
+        self._s_per_token_by_rank = np.zeros(ranks)
         self._weight = weight
 
     def add(self, rank, *, seconds, load):
-        """Add a sample of a rank's work.
+        """Add a sample of a rank's time per token; ignored without time or tokens.
 
         Parameters
         ----------
         rank : int
-            Rank.
+            Number of the rank.
         seconds : float
-            Time that it worked, without waiting for others.
+            Time in seconds that the rank worked, without waiting for other ranks.
         load : float
-            Tokens that its experts got.
+            Tokens that its experts processed.
         """
         if load <= 0 or seconds <= 0:
             return
-        cost = seconds / load
-        last = self._cost_by_rank[rank] or cost
-        self._cost_by_rank[rank] = last + self._weight * (cost - last)
+        s_per_token = seconds / load
+        previous = self._s_per_token_by_rank[rank] or s_per_token
+        self._s_per_token_by_rank[rank] = previous + self._weight * (
+            s_per_token - previous
+        )
 
     def speeds(self):
-        """Return the speed of each rank; 1 for all but slow ones.
+        """Return the speed of each rank; 1 for all but slow ranks.
 
         Examples
         --------
@@ -59,10 +62,10 @@
         >>> [float(s) for s in speeds.speeds()]
         [1.0, 1.0, 0.5]
         """
-        cost = self._cost_by_rank
-        known = cost > 0
-        result = np.ones(len(cost))
-        if known.any():
-            result[known] = np.median(cost[known]) / cost[known]
-        result[result > SLOW_BELOW] = 1.0
+        s_per_token = self._s_per_token_by_rank
+        is_known = s_per_token > 0
+        result = np.ones(len(s_per_token))
+        if is_known.any():
+            result[is_known] = np.median(s_per_token[is_known]) / s_per_token[is_known]
+        result[result > SLOW_RANK_MAX_SPEED] = 1.0
         return result
--- a/packages/magnoliagrade/magnoliagrade/algorithms/balance/tests/test_balance.py
+++ b/packages/magnoliagrade/magnoliagrade/algorithms/balance/tests/test_balance.py
@@ -17,7 +17,7 @@
 )
 
 
-def _situation(rates, **changes):
+def _inputs(rates, **changes):
     layers, experts = rates.shape
     fields = {
         "placement": None,
@@ -43,66 +43,64 @@
 
 @settings(max_examples=40, deadline=None, derandomize=True)
 @given(st.integers(0, 10**6))
-def test_every_policy_keeps_each_expert_within_the_slots(seed):
+def test_every_policy_places_each_expert_within_the_slots(seed):
     rates = np.random.default_rng(seed).exponential(size=(2, 8)) + 0.01
     for name in rebalancing_policies.names():
-        situation = _situation(rates)
-        plan = rebalancing_policies.get(name)().plan(situation)
+        inputs = _inputs(rates)
+        plan = rebalancing_policies.get(name)().plan(inputs)
         if plan is not None:
-            assert _is_valid(plan.placement, situation.slots), name
-            assert plan.transfers == count_transfers(
-                situation.placement, plan.placement
-            )
+            assert _is_valid(plan.placement, inputs.slots), name
+            assert plan.transfers == count_transfers(inputs.placement, plan.placement)
 
 
-def test_placement_survives_packing():
+def test_unpacking_returns_the_packed_placement():
     placement = initial_placement(layers=2, ranks=3, experts=5, slots=2)
     assert (unpack_placement(pack_placement(placement)) == placement).all()
 
 
-def test_hot_expert_gets_replicas():
+def test_repack_replicates_the_most_loaded_expert_on_every_rank():
     rates = np.ones((1, 8))
     rates[0, 5] = 20
     placement = repack(rates, speeds=np.ones(4), slots=3)
     assert placement[0, :, 5].sum() == 4
 
 
-def test_slow_rank_gets_less():
+def test_slow_rank_receives_less_load_than_the_others():
     rates = np.ones((1, 8))
     speeds = np.array([1.0, 1.0, 1.0, 0.5])
-    plan = rebalancing_policies.get("weighed")().plan(_situation(rates, speeds=speeds))
+    plan = rebalancing_policies.get("weighed")().plan(_inputs(rates, speeds=speeds))
     loads = rank_times(plan.placement, rates, np.ones(4))[0]
     assert loads[3] < loads[:3].min()
 
 
-def test_hot_experts_are_not_taken_for_a_slow_rank():
+def test_rank_with_more_tokens_is_not_estimated_as_slow():
     speeds = SpeedEstimator(ranks=3)
     for rank, load in enumerate((10.0, 10.0, 40.0)):
         speeds.add(rank, seconds=load / 100, load=load)
     assert speeds.speeds().tolist() == [1.0, 1.0, 1.0]
 
 
-def test_nothing_moves_when_loading_costs_more_than_it_saves():
+def test_no_plan_if_loading_costs_more_time_than_it_saves():
     rates = np.ones((1, 8))
     rates[0, 5] = 1.5
-    cheap = _situation(rates)
-    dear = _situation(rates, bytes_per_s=0.001)
+    cheap = _inputs(rates)
+    expensive = _inputs(rates, bytes_per_s=0.001)
     policy = rebalancing_policies.get("weighed")()
     assert policy.plan(cheap) is not None
-    assert policy.plan(dear) is None
+    assert policy.plan(expensive) is None
 
 
-def test_budget_bounds_the_bytes_of_a_plan():
+def test_plan_loads_no_more_bytes_than_the_budget():
     rates = np.random.default_rng(1).exponential(size=(4, 8))
     policy = rebalancing_policies.get("weighed")()
-    plan = policy.plan(_situation(rates, budget_bytes=3.0))
+    plan = policy.plan(_inputs(rates, budget_bytes=3.0))
     assert 0 < plan.transfers <= 3
 
 
-def test_planning_at_the_target_size_is_bounded_work():
+def test_planning_60_layers_on_32_ranks_lowers_skew_with_bounded_evaluations():
     rates = np.random.default_rng(1).lognormal(sigma=0.8, size=(60, 128)) * 1000
     placement = initial_placement(layers=60, ranks=32, experts=128, slots=6)
-    situation = _situation(
+    inputs = _inputs(
         rates,
         placement=placement,
         speeds=np.ones(32),
@@ -111,13 +109,13 @@
         bytes_per_s=1e9,
         budget_bytes=300e9,
     )
-    plan = rebalancing_policies.get("weighed")().plan(situation)
+    plan = rebalancing_policies.get("weighed")().plan(inputs)
     assert plan.evaluations <= 60 + plan.transfers
-    after = skew(rank_times(plan.placement, rates, situation.speeds))
-    assert after < skew(rank_times(placement, rates, situation.speeds))
+    after = skew(rank_times(plan.placement, rates, inputs.speeds))
+    assert after < skew(rank_times(placement, rates, inputs.speeds))
 
 
-def test_counts_survive_lost_late_and_repeated_reports():
+def test_lost_late_and_repeated_reports_leave_the_rates_unchanged():
     counter = ExpertCounter(layers=1, experts=2, half_life_s=60.0)
     report = np.array([[30.0, 10.0]])
     for sequence in (1, 2, 2, 1, 5):
@@ -125,7 +123,7 @@
     assert np.allclose(counter.rates(), [[3.0, 1.0]])
 
 
-def test_counts_follow_a_jump():
+def test_rates_follow_a_sudden_change_of_popularity():
     counter = ExpertCounter(layers=1, experts=2, half_life_s=60.0)
     for i in range(20):
         counts = np.array([[10.0, 0.0]]) if i < 10 else np.array([[0.0, 10.0]])
--- a/packages/magnoliagrade/magnoliagrade/algorithms/fair_queue.py
+++ b/packages/magnoliagrade/magnoliagrade/algorithms/fair_queue.py
@@ -1,4 +1,4 @@
-"""A weighted fair queue over flows."""
+"""Weighted fair queue over flows."""
 
 import heapq
 import itertools
@@ -6,7 +6,7 @@
 
 __all__ = ["FairQueue", "QueueItem"]
 
-MIN_FLOWS_SWEPT = 64
+MIN_FLOWS_FOR_CLEANUP = 64
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
@@ -16,13 +16,15 @@
     Parameters
     ----------
     flow : str
-        Name of the flow it belongs to.
+        Name of its flow.
     cost : float
-        What it weighs; above 0.
+        Cost of serving it; above 0.
     value : object
-        What waits.
+        Payload of the caller.
     priority : int
-        Higher goes first within its flow.
+        Items of higher priority are served first within their flow.
+    is_removed : bool
+        Whether it is no longer in the queue.
     """
 
     flow: str
@@ -44,27 +46,27 @@
 
 
 class FairQueue:
-    """Items of many flows, served in proportion to the flows' weights.
+    """Queue that serves items of many flows in proportion to the flows' weights.
 
     Attributes
     ----------
     cost : float
-        What the waiting items weigh together.
+        Total cost of the waiting items.
     count : int
         Number of waiting items.
     virtual_time : float
-        Start time of the newest item taken.
+        Virtual start time of the item taken last; never decreases.
     weight : float
-        Weights of the flows that have items, in all.
+        Total weight of the flows that have waiting items.
 
     Notes
     -----
-    Start-time fair queueing [1]_: each flow has a virtual start time that moves on
-    by cost over weight with every item taken, and the flow that is furthest back
-    goes next. A flow that was idle starts at the virtual time of the newest item
-    taken, so that it gains nothing from its idleness. Each operation takes
-    O(log n) for n flows and items that wait; flows without items keep their start
-    time only for as long as it lies ahead of the virtual time.
+    Start-time fair queueing [1]_: each flow has a virtual start time that advances by
+    cost over weight with every item taken, and the flow with the earliest start time
+    is served next. An idle flow resumes at the virtual time of the item taken last,
+    so that idleness gives it no advantage. Each operation takes O(log n) for n flows
+    and waiting items. A flow without items is kept only as long as its start time is
+    later than the virtual time.
 
     References
     ----------
@@ -82,11 +84,11 @@
     """
 
     __slots__ = (
+        "_cleanup_flow_count",
         "_flow_by_name",
         "_heap",
-        "_newest_start",
-        "_order",
-        "_sweep_at",
+        "_latest_start",
+        "_sequence",
         "cost",
         "count",
         "virtual_time",
@@ -96,42 +98,42 @@
     def __init__(self):
         self._flow_by_name = {}
         self._heap = []
-        self._newest_start = 0.0
-        self._order = itertools.count()
-        self._sweep_at = MIN_FLOWS_SWEPT
+        self._latest_start = 0.0
+        self._sequence = itertools.count()
+        self._cleanup_flow_count = MIN_FLOWS_FOR_CLEANUP
         self.cost = 0.0
         self.count = 0
         self.virtual_time = 0.0
         self.weight = 0.0
 
     def __len__(self):
-        """Return the number of items that wait."""
+        """Return the number of waiting items."""
         return self.count
 
     def push(self, flow, cost, *, value=None, weight=1.0, priority=0):
-        """Add an item.
+        """Add an item to a flow.
 
         Parameters
         ----------
         flow : str
-            Flow of the item.
+            Name of the flow.
         cost : float
-            What it weighs; above 0.
+            Cost of serving the item; above 0.
         value : object
-            What waits.
+            Payload of the caller.
         weight : float
-            Weight of the flow from now on; above 0.
+            Weight that the flow has from now on; above 0.
         priority : int
-            Higher goes first within the flow.
+            Items of higher priority are served first within the flow.
 
         Returns
         -------
         item : QueueItem
-            To remove it by.
+            Added item, for `remove` and `take`.
         """
         item = QueueItem(flow=flow, cost=cost, value=value, priority=priority)
         state = self._flow_of(flow, weight)
-        heapq.heappush(state.items, (-priority, next(self._order), item))
+        heapq.heappush(state.items, (-priority, next(self._sequence), item))
         state.count += 1
         state.cost += cost
         if state.count == 1:
@@ -139,30 +141,30 @@
         self.count += 1
         self.cost += cost
         if state.count == 1:
-            self._file(state)
+            self._schedule(state)
         return item
 
     def remove(self, item):
-        """Take an item out that no longer waits; the rest keep their places."""
+        """Remove an item without serving it; the order of the others is unchanged."""
         if not item.is_removed:
-            self._discount(self._flow_by_name[item.flow], item)
-            self._sweep()
+            self._subtract(self._flow_by_name[item.flow], item)
+            self._drop_idle_flows()
 
     def take(self, item):
-        """Take an item out as served, whatever its place."""
+        """Remove an item as served, whatever its position in the queue."""
         state = self._flow_by_name[item.flow]
         self.virtual_time = max(self.virtual_time, state.start)
         state.start += item.cost / state.weight
-        self._newest_start = max(self._newest_start, state.start)
-        self._discount(state, item)
+        self._latest_start = max(self._latest_start, state.start)
+        self._subtract(state, item)
         if state.count:
-            self._file(state)
+            self._schedule(state)
         if not self.count:
-            self.virtual_time = self._newest_start
-        self._sweep()
+            self.virtual_time = self._latest_start
+        self._drop_idle_flows()
 
     def pop(self):
-        """Take the item out that is next; None if there is none."""
+        """Remove and return the next item; None if the queue is empty."""
         heads = self.heads(1)
         if not heads:
             return None
@@ -170,37 +172,37 @@
         return heads[0]
 
     def heads(self, count, *, slack=float("inf")):
-        """Return the next items of the flows that are furthest back.
+        """Return the first items of the flows with the earliest start times.
 
         Parameters
         ----------
         count : int
-            How many flows to look at.
+            Maximum number of flows.
         slack : float
-            How far in virtual time a flow may be ahead of the first.
+            Maximum difference in virtual start time to the first flow.
 
         Returns
         -------
         items : list of QueueItem
-            At most one of each flow, the next one first. O(count log n).
+            At most one of each flow, in the order of service. O(count log n).
         """
         found = []
-        seen = []
+        popped = []
         while self._heap and len(found) < count:
             entry = heapq.heappop(self._heap)
             start, _, state, version = entry
             if version != state.version or not state.count:
                 continue
-            seen.append(entry)
-            if start > seen[0][0] + slack:
+            popped.append(entry)
+            if start > popped[0][0] + slack:
                 break
-            found.append(_head_of(state))
-        for entry in seen:
+            found.append(_first_item(state))
+        for entry in popped:
             heapq.heappush(self._heap, entry)
         return found
 
     def flow_cost(self, flow):
-        """Return the cost that waits in a flow."""
+        """Return the total cost of the items that wait in a flow."""
         state = self._flow_by_name.get(flow)
         return state.cost if state else 0.0
 
@@ -211,7 +213,7 @@
 
     @property
     def flow_total(self):
-        """Return the number of flows that the queue remembers."""
+        """Return the number of flows that the queue keeps, with or without items."""
         return len(self._flow_by_name)
 
     def _flow_of(self, name, weight):
@@ -226,15 +228,15 @@
         state.weight = weight
         return state
 
-    def _file(self, state):
+    def _schedule(self, state):
         state.version += 1
-        entry = (state.start, next(self._order), state, state.version)
+        entry = (state.start, next(self._sequence), state, state.version)
         heapq.heappush(self._heap, entry)
-        if len(self._heap) > 2 * len(self._flow_by_name) + MIN_FLOWS_SWEPT:
+        if len(self._heap) > 2 * len(self._flow_by_name) + MIN_FLOWS_FOR_CLEANUP:
             self._heap = [e for e in self._heap if e[3] == e[2].version and e[2].count]
             heapq.heapify(self._heap)
 
-    def _discount(self, state, item):
+    def _subtract(self, state, item):
         item.is_removed = True
         state.count -= 1
         state.cost -= item.cost
@@ -248,9 +250,9 @@
             self.cost = 0.0
             self.weight = 0.0
 
-    def _sweep(self):
-        # Amortised O(1): the next sweep waits until the flows have doubled.
-        if len(self._flow_by_name) < self._sweep_at:
+    def _drop_idle_flows(self):
+        # Amortised O(1): the next cleanup runs when the number of flows has doubled.
+        if len(self._flow_by_name) < self._cleanup_flow_count:
             return
         now = self.virtual_time
         self._flow_by_name = {
@@ -258,10 +260,12 @@
             for name, flow in self._flow_by_name.items()
             if flow.count or flow.start > now
         }
-        self._sweep_at = max(MIN_FLOWS_SWEPT, 2 * len(self._flow_by_name))
+        self._cleanup_flow_count = max(
+            MIN_FLOWS_FOR_CLEANUP, 2 * len(self._flow_by_name)
+        )
 
 
-def _head_of(state):
+def _first_item(state):
     while state.items[0][2].is_removed:
         heapq.heappop(state.items)
     return state.items[0][2]
--- a/packages/magnoliagrade/magnoliagrade/algorithms/hashing.py
+++ b/packages/magnoliagrade/magnoliagrade/algorithms/hashing.py
@@ -11,12 +11,12 @@
     Parameters
     ----------
     data : str or bytes
-        What to hash.
+        Data to hash; text is encoded as UTF-8.
 
     Returns
     -------
     value : int
-        The same in every process.
+        Hash, the same in every process.
     """
     if isinstance(data, str):
         data = data.encode()
@@ -29,19 +29,19 @@
     Parameters
     ----------
     key : str or int
-        What is placed.
+        Key to place.
     names : iterable of str
-        Places.
+        Names of the candidates.
 
     Returns
     -------
     ordered : list of str
-        The preferred place first.
+        Candidates, the preferred one first.
 
     Notes
     -----
-    O(n log n). Removing a name leaves the order of the others as it was, so only
-    what was placed on that name moves [1]_.
+    O(n log n). Removing a name does not change the order of the others, so only the
+    keys placed on that name move [1]_.
 
     References
     ----------
--- a/packages/magnoliagrade/magnoliagrade/algorithms/selectors.py
+++ b/packages/magnoliagrade/magnoliagrade/algorithms/selectors.py
@@ -13,7 +13,7 @@
 _EQUALITY = re.compile(rf"^({_NAME})\s*(==|=|!=)\s*({_VALUE})?$")
 _SET = re.compile(rf"^({_NAME})\s+(in|notin)\s+\(([^()]*)\)$")
 _EXISTS = re.compile(rf"^(!?)\s*({_NAME})$")
-_SPLIT = re.compile(r",(?![^()]*\))")
+_SEPARATOR = re.compile(r",(?![^()]*\))")
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,7 +35,7 @@
     values: frozenset = frozenset()
 
     def matches(self, labels):
-        """Return whether labels meet the condition."""
+        """Return whether labels satisfy the condition."""
         if self.operator == "exists":
             return self.name in labels
         if self.operator == "absent":
@@ -46,18 +46,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Selector:
-    """Conditions that labels must meet together.
+    """Conjunction of conditions on labels.
 
     Parameters
     ----------
     requirements : tuple of Requirement
-        The conditions; none selects everything.
+        The conditions; an empty tuple selects everything.
     """
 
     requirements: tuple = ()
 
     def matches(self, labels):
-        """Return whether labels meet every condition.
+        """Return whether labels satisfy every condition.
 
         Parameters
         ----------
@@ -69,7 +69,7 @@
 
 @functools.lru_cache(maxsize=4096)
 def parse_selector(text):
-    """Return the selector that a text describes.
+    """Return the selector that a text specifies.
 
     Parameters
     ----------
@@ -85,7 +85,7 @@
     Raises
     ------
     MagnoliagradeError
-        `CONFIGURATION_INVALID` naming the part that cannot be read.
+        `CONFIGURATION_INVALID` with the part that cannot be parsed.
 
     Examples
     --------
@@ -94,7 +94,7 @@
     >>> parse_selector("zone!=a").matches({})
     True
     """
-    parts = [p.strip() for p in _SPLIT.split(text)]
+    parts = [p.strip() for p in _SEPARATOR.split(text)]
     if parts == [""]:
         return Selector()
     return Selector(tuple(_parse_requirement(p) for p in parts))
@@ -110,5 +110,5 @@
             return Requirement(m[1], m[2], values)
     if m := _EXISTS.match(part):
         return Requirement(m[2], "absent" if m[1] else "exists")
-    detail = f"selector part {part!r} cannot be read"
+    detail = f"selector part {part!r} cannot be parsed"
     raise MagnoliagradeError(ErrorKind.CONFIGURATION_INVALID, detail)
--- a/packages/magnoliagrade/magnoliagrade/algorithms/tests/test_fair_queue.py
+++ b/packages/magnoliagrade/magnoliagrade/algorithms/tests/test_fair_queue.py
@@ -4,7 +4,7 @@
 from magnoliagrade.algorithms import FairQueue
 
 
-def test_priority_orders_within_a_flow_only():
+def test_priority_orders_items_within_their_flow_only():
     queue = FairQueue()
     for i in range(4):
         queue.push("busy", 1, value=f"busy {i}", priority=100)
@@ -14,24 +14,24 @@
     assert order == ["busy 0", "soon", "busy 1", "late"]
 
 
-def test_idle_flow_gains_nothing_from_idleness():
+def test_flow_that_was_idle_is_not_served_ahead_of_others():
     queue = FairQueue()
-    queue.push("keeper", 1)
-    queue.push("keeper", 1)
-    queue.push("guest", 1)
+    queue.push("steady", 1)
+    queue.push("steady", 1)
+    queue.push("returning", 1)
     queue.pop()
     queue.pop()
     for _ in range(10):
-        queue.push("keeper", 1)
+        queue.push("steady", 1)
         queue.pop()
     for _ in range(6):
-        queue.push("guest", 1, value="guest")
-        queue.push("keeper", 1, value="keeper")
+        queue.push("returning", 1, value="returning")
+        queue.push("steady", 1, value="steady")
     served = [queue.pop().value for _ in range(6)]
-    assert served.count("guest") <= 4
+    assert served.count("returning") <= 4
 
 
-def test_flows_without_items_are_forgotten():
+def test_queue_keeps_at_most_128_flows_without_items():
     queue = FairQueue()
     for i in range(10_000):
         queue.push(f"flow {i}", 1)
@@ -53,13 +53,13 @@
     for _ in range(len(costs)):
         item = queue.pop()
         served[item.flow] += item.cost / weights[item.flow]
-    # Bound of start-time fair queueing: one largest item of each flow.
+    # Fairness bound of start-time fair queueing: the largest item of each of two flows.
     assert max(served) - min(served) <= 2 * max(costs)
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.integers(0, 3), st.integers(1, 9), st.booleans())))
-def test_totals_follow_every_operation(steps):
+def test_totals_match_the_waiting_items_after_every_operation(steps):
     queue = FairQueue()
     waiting = []
     for flow, cost, removes in steps:
--- a/packages/magnoliagrade/magnoliagrade/algorithms/tests/test_selectors.py
+++ b/packages/magnoliagrade/magnoliagrade/algorithms/tests/test_selectors.py
@@ -2,7 +2,7 @@
 from magnoliagrade.errors import MagnoliagradeError
 
 
-def test_equality_and_set_syntax():
+def test_selectors_in_equality_and_set_syntax_match_labels():
     cases = [
         ("", {}, True),
         ("a=b", {"a": "b"}, True),
@@ -19,11 +19,11 @@
         assert parse_selector(text).matches(labels) is expected, text
 
 
-def test_unreadable_part_is_named():
+def test_invalid_selector_is_rejected():
     for text in ("a=b=c", "a in b", "a in ()", ",", "a b", "(a)"):
         try:
             parse_selector(text)
         except MagnoliagradeError as exc:
-            assert "cannot be read" in exc.detail
+            assert "cannot be parsed" in exc.detail
         else:
             raise AssertionError(f"{text!r} was accepted")
--- a/packages/magnoliagrade/magnoliagrade/algorithms/token_bucket.py
+++ b/packages/magnoliagrade/magnoliagrade/algorithms/token_bucket.py
@@ -1,19 +1,19 @@
-"""A token bucket."""
+"""Token bucket for rate limits."""
 
 __all__ = ["TokenBucket"]
 
 
 class TokenBucket:
-    """Cost that may be spent, refilled at a rate that may change.
+    """Token bucket whose refill rate can be changed.
 
     Parameters
     ----------
     rate : float
-        Cost a second.
+        Cost per second at which the bucket is refilled.
     burst_s : float
-        Time of refilling that a full bucket holds.
+        Time in seconds in which an empty bucket is filled.
     at : float
-        Time in seconds.
+        Current time in seconds.
 
     Examples
     --------
@@ -24,45 +24,45 @@
     0.0
     """
 
-    __slots__ = ("_at", "_burst_s", "_level", "_rate")
+    __slots__ = ("_burst_s", "_level", "_rate", "_refilled_at")
 
     def __init__(self, *, rate, burst_s, at):
         self._rate = rate
         self._burst_s = burst_s
         self._level = rate * burst_s
-        self._at = at
+        self._refilled_at = at
 
     def set_rate(self, rate, *, at):
-        """Refill at another rate from now on."""
+        """Set the refill rate from a time in seconds onwards."""
         self._refill(at)
         self._rate = rate
 
     def take(self, cost, *, at):
-        """Spend a cost if the bucket holds it.
+        """Take a cost from the bucket if its level suffices.
 
         Parameters
         ----------
         cost : float
-            Cost to spend; one beyond the whole bucket needs a full bucket, which it
-            leaves in debt.
+            Cost to take. A cost above the bucket's capacity requires a full bucket and
+            makes its level negative.
         at : float
-            Time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         wait_s : float
-            0 if it was spent, else seconds until it could be.
+            0 if the cost was taken, else seconds until it can be.
         """
         self._refill(at)
-        needed = min(cost, self._rate * self._burst_s)
-        if self._level >= needed and self._rate > 0:
+        required = min(cost, self._rate * self._burst_s)
+        if self._level >= required and self._rate > 0:
             self._level -= cost
             return 0.0
         if self._rate <= 0:
             return float("inf")
-        return (needed - self._level) / self._rate
+        return (required - self._level) / self._rate
 
     def _refill(self, at):
-        full = self._rate * self._burst_s
-        self._level = min(full, self._level + self._rate * (at - self._at))
-        self._at = at
+        capacity = self._rate * self._burst_s
+        self._level = min(capacity, self._level + self._rate * (at - self._refilled_at))
+        self._refilled_at = at
