--- a/packages/magnoliagrade-agent/magnoliagrade_agent/load_watch.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/load_watch.py
@@ -84,7 +84,7 @@
             age_seconds=report.age_s,
             limit=credits.advertised_limit,
             held=credits.held + credits.grants.reserved,
-            asked=credits.grants.asked,
+            asked=credits.grants.requested,
             headroom=credits.headroom,
         )
 
