--- a/packages/magnoliagrade-agent/magnoliagrade_agent/direct/planning.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/direct/planning.py
@@ -6,8 +6,8 @@
 
 import numpy as np
 from magnoliagrade.algorithms.balance import (
-    apply_move,
-    best_move,
+    apply_change,
+    best_change,
     rank_times,
     skew,
     step_time,
@@ -222,9 +222,9 @@
 def _improve_set(planned, former, rates, *, speeds, places, spare, floor):
     for _ in range(MAX_MOVES_PER_SET):
         added = (planned & ~former).sum(axis=1)
-        move = best_move(
+        move = best_change(
             planned, rates, speeds=speeds, slots=places, may_load=added < spare
         )
         if move is None or move.gain_per_transfer < floor:
             return
-        apply_move(planned, move)
+        apply_change(planned, move)
