--- a/packages/magnoliagrade-entry/magnoliagrade_entry/direct/peers.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/direct/peers.py
@@ -1,4 +1,4 @@
-"""Links between direct entries: each tells the others what it has in flight."""
+"""Links between direct entries, which report their requests in flight to each other."""
 
 import asyncio
 import logging
@@ -19,21 +19,24 @@
 
 __all__ = ["PeerLinks", "keep_registered"]
 
-# Changes of this span travel together; about one pass of a group.
+# Changes within this interval, about one pass of a group, are sent in one message.
 SEND_INTERVAL_S = 0.05
-# With many entries each has few changes to tell, and messages grow with their square:
-# every 0.15 s with 38 entries, in which some 20 requests come to a site of that size.
-SEND_INTERVAL_PEER_S = 0.004
-# A whole report this often heals whatever a report of changes missed.
-WHOLE_INTERVAL_S = 2.0
-# Without a message for so long a peer counts as gone: two and a half whole reports.
-SILENCE_S = 5.0
-# Entries of the store last longer than most outages of the sites' days (4 to 9 s).
+# Shortest interval between messages, per linked peer. The number of messages grows with
+# the square of the number of entries, while each entry has fewer changes to report.
+# With 38 entries a message is sent every 0.15 s, in which about 20 requests reach a
+# site of that size.
+SEND_INTERVAL_PER_PEER_S = 0.004
+# Interval of full reports, which correct changes missed by the partial ones.
+FULL_REPORT_INTERVAL_S = 2.0
+# A link without a message for this long is closed; two and a half intervals between
+# full reports.
+PEER_TIMEOUT_S = 5.0
+# Life of the entry's lease in the store, longer than most outages (4 to 9 s).
 LEASE_S = 10.0
-# Three renewals may fail before the lease ends.
+# Interval of lease renewals; three may fail before the lease expires.
 RENEW_INTERVAL_S = 2.5
-# Calls are priced also while the store refuses them.
-RETRY_INTERVAL_S = 1.0
+# Pause after a failed call. Calls are billed also while the store rejects them.
+REGISTER_RETRY_INTERVAL_S = 1.0
 
 _log = logging.getLogger(__name__)
 
@@ -68,15 +71,15 @@
         )
 
     def update(self):
-        """Dial entries that have been added and leave those that are gone.
+        """Start links to added entries and stop those to removed ones.
 
         Notes
         -----
-        Of two entries the one with the lesser name dials.
+        Of two entries, the one whose name sorts first dials.
         """
-        own = self._node.settings.name
-        addresses = self._node.knowledge.link_address_by_name
-        wanted = {n: a for n, a in addresses.items() if n > own}
+        local_name = self._node.settings.name
+        addresses = self._node.site_state.link_address_by_name
+        wanted = {n: a for n, a in addresses.items() if n > local_name}
         for name, (address, task) in list(self._dialling_by_name.items()):
             if wanted.get(name) != address:
                 task.cancel()
@@ -88,32 +91,32 @@
                 )
                 self._dialling_by_name[name] = (address, task)
 
-    def note_change(self, endpoint_id):
-        """Note that the work in flight at an endpoint has changed."""
+    def mark_changed(self, endpoint_id):
+        """Mark an endpoint's work in flight as changed, to be reported."""
         self._changed.add(endpoint_id)
 
     async def report(self):
-        """Send changes, and everything now and then, until cancelled."""
+        """Send changes and, at longer intervals, full reports until cancelled."""
         clock = self._node.clock
-        whole_at = clock.monotonic()
+        full_report_at = clock.monotonic()
         while True:
-            by_peers_s = SEND_INTERVAL_PEER_S * len(self.link_by_name)
+            by_peers_s = SEND_INTERVAL_PER_PEER_S * len(self.link_by_name)
             await clock.sleep(max(SEND_INTERVAL_S, by_peers_s))
-            if clock.monotonic() >= whole_at:
-                whole_at = clock.monotonic() + WHOLE_INTERVAL_S
+            if clock.monotonic() >= full_report_at:
+                full_report_at = clock.monotonic() + FULL_REPORT_INTERVAL_S
                 self._changed.clear()
-                self._broadcast(self._whole_report())
+                self._broadcast(self._full_report())
             elif self._changed:
                 changed, self._changed = self._changed, set()
                 rows = [self._row(endpoint_id) for endpoint_id in changed]
                 self._broadcast(WorkInFlight(endpoints=rows))
 
     def tell_outage(self, service, *, is_out):
-        """Tell all peers that a service is out, or back."""
+        """Announce to all peers that an outage of a service begins or ends."""
         self._broadcast(ServiceOutage(service=service, is_out=is_out))
 
     def close(self):
-        """Stop listening and close every link."""
+        """Stop listening and close all links."""
         if self._server is not None:
             self._server.close()
         for link in list(self.link_by_name.values()):
@@ -137,7 +140,7 @@
             reader=reader,
             writer=writer,
             identity=self._node.identity,
-            revision=lambda: self._node.knowledge.version,
+            revision=lambda: self._node.site_state.version,
             is_dialled=is_dialled,
         )
 
@@ -154,56 +157,58 @@
         name = link.peer_instance
         self.link_by_name[name] = link
         log_event(_log, "link.up", peer=name)
-        link.send(self._whole_report())
+        link.send(self._full_report())
         try:
             while True:
-                async with asyncio.timeout(SILENCE_S):
+                async with asyncio.timeout(PEER_TIMEOUT_S):
                     message = await link.receive()
                 if isinstance(message, WorkInFlight):
-                    self._take(name, message)
+                    self._apply_peer_work(name, message)
                 elif isinstance(message, ServiceOutage):
-                    self._take_outage(message)
+                    self._apply_peer_outage(message)
         finally:
             if self.link_by_name.get(name) is link:
                 del self.link_by_name[name]
-                self._node.places.forget_peer(name)
-                self._node.wake_rooms()
+                self._node.endpoint_table.remove_peer(name)
+                self._node.wake_wait_queues()
             log_event(_log, "link.down", peer=name)
 
-    def _take(self, name, message):
-        self._node.places.take_peer_work(
+    def _apply_peer_work(self, name, message):
+        self._node.endpoint_table.update_peer_work(
             name, message.endpoints, is_complete=message.is_complete
         )
-        self._node.wake_rooms()
+        self._node.wake_wait_queues()
 
-    def _take_outage(self, message):
-        places = self._node.places
+    def _apply_peer_outage(self, message):
+        endpoint_table = self._node.endpoint_table
         if message.is_out:
-            if places.note_outage(message.service, now=self._node.clock.monotonic()):
+            if endpoint_table.record_outage(
+                message.service, now=self._node.clock.monotonic()
+            ):
                 self._node.start_recovery_watch(message.service)
-        elif places.note_answer(message.service):
-            self._node.wake_rooms()
+        elif endpoint_table.record_response(message.service):
+            self._node.wake_wait_queues()
 
     def _broadcast(self, message):
         for link in list(self.link_by_name.values()):
             link.send(message)
 
     def _row(self, endpoint_id):
-        place = self._node.places.by_id.get(endpoint_id)
-        own = place.own if place is not None else 0
-        return EndpointWork(endpoint=endpoint_id, in_flight=own)
+        load = self._node.endpoint_table.by_id.get(endpoint_id)
+        in_flight = load.local_in_flight if load is not None else 0
+        return EndpointWork(endpoint=endpoint_id, in_flight=in_flight)
 
-    def _whole_report(self):
+    def _full_report(self):
         rows = [
-            EndpointWork(endpoint=endpoint_id, in_flight=place.own)
-            for endpoint_id, place in self._node.places.by_id.items()
-            if place.own
+            EndpointWork(endpoint=endpoint_id, in_flight=load.local_in_flight)
+            for endpoint_id, load in self._node.endpoint_table.by_id.items()
+            if load.local_in_flight
         ]
         return WorkInFlight(is_complete=True, endpoints=rows)
 
 
 async def keep_registered(node):
-    """Keep the entry's own key in the store under a lease, until cancelled.
+    """Keep the entry registered in the store under a lease until cancelled.
 
     Parameters
     ----------
@@ -222,7 +227,7 @@
             pause_s = 0.0
         except MagnoliagradeError as exc:
             log_event(_log, "instance.not_registered", detail=exc.detail)
-            pause_s = RETRY_INTERVAL_S
+            pause_s = REGISTER_RETRY_INTERVAL_S
         await node.clock.sleep(pause_s)
 
 
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/direct/serving.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/direct/serving.py
@@ -1,4 +1,4 @@
-"""Serving a checked request: attempts at endpoints and the answer to the caller."""
+"""Serving of validated requests: attempts at endpoints and the caller's response."""
 
 import asyncio
 
@@ -12,54 +12,55 @@
 
 __all__ = ["serve_request"]
 
-# A lookup that has had no answer for this part of its time is tried elsewhere.
-SAFE_FIRST_PART = 0.45
+# An idempotent request without a response for this fraction of its remaining time is
+# retried at another endpoint.
+IDEMPOTENT_ATTEMPT_FRACTION = 0.45
 
 
 async def serve_request(node, request, http_request):
-    """Serve a request and return the response that was or is to be sent.
+    """Serve a request; return the response, sent already if it is a stream.
 
     Parameters
     ----------
     node : DirectEntry
         The entry.
     request : DirectRequest
-        Checked request.
+        Validated request.
     http_request : aiohttp.web.BaseRequest
-        Where the answer goes.
+        The caller's request, which the response belongs to.
 
     Raises
     ------
     MagnoliagradeError
-        If there is no answer of an endpoint and nothing has been sent yet.
+        If no endpoint responded and nothing has been sent to the caller yet.
     """
-    node.retry_budget.note_request(request.service, now=node.clock.monotonic())
+    node.retry_budget.record_request(request.service, now=node.clock.monotonic())
     attempts = Attempts(node=node, request=request)
     if request.route.is_stream:
         return await relay_stream(node, attempts, http_request)
     if request.route.is_idempotent:
-        return await _serve_plain(attempts)
+        return await _serve_idempotent(attempts)
     return await _serve_once(node, attempts)
 
 
-async def _serve_plain(attempts):
-    """Serve a request that may be repeated.
+async def _serve_idempotent(attempts):
+    """Serve a request that may be run several times.
 
-    An endpoint's own failure is passed on if no other endpoint can be asked.
+    An endpoint's error response is returned if the request cannot be retried.
     """
     failure = None
     while True:
         try:
-            return await _one_plain(attempts)
+            return await _attempt_plain(attempts)
         except AttemptFailed as exc:
-            failure = exc.answer or failure
+            failure = exc.response or failure
             error = exc
         except MagnoliagradeError:
             if failure is None:
                 raise
             return failure
         try:
-            attempts.check_next(error)
+            attempts.check_retry(error)
         except MagnoliagradeError:
             if failure is None:
                 raise
@@ -67,54 +68,57 @@
 
 
 async def _serve_once(node, attempts):
-    """Serve a request that may run once; it goes on when its caller has left."""
+    """Serve a request that may run only once; it continues if its caller leaves."""
     while True:
-        await attempts.find_place()
-        work = _shielded_plain(attempts)
+        await attempts.ensure_slot()
+        work = _attempt_plain_outcome(attempts)
         task = node.tasks.start(work, name=f"order {attempts.request.id}")
         outcome = await asyncio.shield(task)
         if isinstance(outcome, web.Response):
             return outcome
-        attempts.check_next(outcome)
+        attempts.check_retry(outcome)
 
 
-async def _shielded_plain(attempts):
+async def _attempt_plain_outcome(attempts):
+    """Make one attempt; return its response or its error."""
     try:
-        return await _one_plain(attempts)
+        return await _attempt_plain(attempts)
     except MagnoliagradeError as exc:
         return exc
 
 
-async def _one_plain(attempts):
-    """Make one attempt and return the whole answer as a response."""
+async def _attempt_plain(attempts):
+    """Make one attempt and return the complete response."""
     async with attempts.next_attempt() as attempt:
-        limit_s = _limit_s(attempts)
+        limit_s = _attempt_timeout_s(attempts)
         try:
             async with asyncio.timeout(limit_s):
-                answer = await attempt.open()
-                body = await answer.read()
+                upstream = await attempt.open()
+                body = await upstream.read()
         except TimeoutError:
             raise AttemptFailed(
                 ErrorKind.DEADLINE,
-                f"{attempt.endpoint.id} did not answer in {limit_s:.2f} s",
+                f"{attempt.endpoint.id} did not respond within {limit_s:.2f} s",
                 has_run=True,
             ) from None
         response = web.Response(
-            status=answer.status, headers=response_headers(answer.headers), body=body
+            status=upstream.status,
+            headers=response_headers(upstream.headers),
+            body=body,
         )
-        if answer.status >= 500 and attempts.may_repeat():
+        if upstream.status >= 500 and attempts.may_retry():
             raise AttemptFailed(
                 ErrorKind.UPSTREAM_FAILED,
-                f"{attempt.endpoint.id} answered {answer.status}",
+                f"{attempt.endpoint.id} responded with status {upstream.status}",
                 has_run=True,
-                answer=response,
+                response=response,
             )
-        attempt.note_success()
+        attempt.record_success()
         return response
 
 
-def _limit_s(attempts):
-    left_s = attempts.left_s()
-    if attempts.may_repeat():
-        return left_s * SAFE_FIRST_PART
-    return left_s
+def _attempt_timeout_s(attempts):
+    remaining_s = attempts.remaining_s()
+    if attempts.may_retry():
+        return remaining_s * IDEMPOTENT_ATTEMPT_FRACTION
+    return remaining_s
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/direct/waiting.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/direct/waiting.py
@@ -1,4 +1,4 @@
-"""Requests that wait at an entry for an endpoint with room."""
+"""Queue of requests that wait for a free slot at an endpoint."""
 
 import asyncio
 from collections import deque
@@ -8,75 +8,75 @@
 
 from magnoliagrade_entry.direct.overload import (
     completion_rate,
-    order_of,
     predicted_wait_s,
     retry_after_s,
+    wait_order,
 )
 
-__all__ = ["Waiter", "WaitingRoom"]
+__all__ = ["Waiter", "WaitQueue"]
 
-# Completions of this span give the rate at which places come free; longer than a
-# usual stream, so that each place counts.
+# Window in which completions are counted to get the rate at which slots become free;
+# longer than a usual stream, so that each slot contributes.
 RATE_WINDOW_S = 2.0
-# Weight of the newest request in the usual time that one holds its place: some ten
-# requests, a few seconds of an entry's traffic.
-WORK_WEIGHT = 0.1
+# Weight of the newest request in the moving average of the time that a request holds
+# its slot: averages about ten requests, a few seconds of an entry's traffic.
+WORK_SMOOTHING = 0.1
 
 
 @dataclass(slots=True, kw_only=True)
 class Waiter:
-    """A request that waits for a place.
+    """A request that waits for a slot.
 
     Parameters
     ----------
     request : DirectRequest
         The request.
     excluded : set of str
-        Endpoints that it must not go to.
-    leave_at : float
-        Time after which a place is of no use to it.
-    is_under_way : bool
-        Whether its caller has got a part of its answer already.
+        Ids of endpoints that it must not be sent to.
+    slot_deadline : float
+        Time by which the request needs a slot to be served in time.
+    has_started : bool
+        Whether the caller has received part of the response.
     future : asyncio.Future
-        Gets the place.
+        Result: load of the endpoint whose slot was assigned.
     """
 
     request: object
     excluded: set
-    leave_at: float
-    is_under_way: bool = False
+    slot_deadline: float
+    has_started: bool = False
     future: object = field(repr=False)
 
 
-class WaitingRoom:
-    """Queue of one service.
+class WaitQueue:
+    """Wait queue of one service.
 
     Parameters
     ----------
     service : str
         Service.
-    places : PlaceBook
-        Work in flight.
+    endpoint_table : EndpointTable
+        Requests in flight by endpoint.
     clock : Clock
         Source of time.
     rng : random.Random
-        Source of chance, which spreads returns.
+        Random number generator for the jitter of retries.
     """
 
     __slots__ = (
         "_clock",
         "_completions",
+        "_endpoint_table",
         "_in_flight",
-        "_places",
         "_rng",
         "_service",
         "_work_s",
         "waiters",
     )
 
-    def __init__(self, *, service, places, clock, rng):
+    def __init__(self, *, service, endpoint_table, clock, rng):
         self._service = service
-        self._places = places
+        self._endpoint_table = endpoint_table
         self._clock = clock
         self._rng = rng
         self._completions = deque()
@@ -84,52 +84,59 @@
         self._work_s = 0.0
         self.waiters = []
 
-    async def take_place(self, request, *, excluded, leave_at, is_under_way=False):
-        """Return a place, counted as in use, once there is room.
+    async def acquire_slot(
+        self, request, *, excluded, slot_deadline, has_started=False
+    ):
+        """Return the load of an endpoint at which a slot has been acquired.
 
         Parameters
         ----------
         request : DirectRequest
             The request.
         excluded : set of str
-            Endpoints that it must not go to.
-        leave_at : float
-            Time after which a place is of no use to it.
-        is_under_way : bool
-            Whether its caller has got a part of its answer already; it goes first.
+            Ids of endpoints that it must not be sent to.
+        slot_deadline : float
+            Time by which the request needs a slot to be served in time.
+        has_started : bool
+            Whether the caller has received part of the response; such requests are
+            served first.
 
         Raises
         ------
         MagnoliagradeError
-            `OVERLOADED` as soon as no place can be expected in time.
+            `OVERLOADED` as soon as no slot can be expected in time.
         """
         now = self._clock.monotonic()
-        if self._places.is_out(self._service, now=now):
-            raise self._outage_refusal(request, now)
-        # In an outage a request that is let through does not wait behind others.
-        if not self.waiters or self._places.is_known_out(self._service):
-            place = self._choose(excluded, now)
-            if place is not None:
-                return place
-        ahead = [w for w in self.waiters if w.is_under_way or not is_under_way]
-        self._refuse_hopeless(request, excluded, leave_at, now, ahead=len(ahead))
+        if self._endpoint_table.should_reject(self._service, now=now):
+            raise self._outage_error(request, now)
+        # During an outage a request let through as a probe does not wait behind others.
+        if not self.waiters or self._endpoint_table.is_unavailable(self._service):
+            load = self._acquire_free_slot(excluded, now)
+            if load is not None:
+                return load
+        ahead = [w for w in self.waiters if w.has_started or not has_started]
+        self._reject_if_too_late(
+            request, excluded, slot_deadline, now, ahead=len(ahead)
+        )
         waiter = Waiter(
             request=request,
             excluded=excluded,
-            leave_at=leave_at,
-            is_under_way=is_under_way,
+            slot_deadline=slot_deadline,
+            has_started=has_started,
             future=asyncio.get_running_loop().create_future(),
         )
         self.waiters.append(waiter)
-        # Places that are left out for a while come back without an event.
+        # No event marks the end of an ejection.
         self.wake()
         try:
-            return await asyncio.wait_for(waiter.future, max(0.0, leave_at - now))
+            return await asyncio.wait_for(waiter.future, max(0.0, slot_deadline - now))
         except TimeoutError:
             now = self._clock.monotonic()
-            if self._places.is_known_out(self._service):
-                raise self._outage_refusal(request, now) from None
-            raise self._refusal("no endpoint had room in time", request) from None
+            if self._endpoint_table.is_unavailable(self._service):
+                raise self._outage_error(request, now) from None
+            raise self._overloaded_error(
+                "no endpoint had a free slot in time", request
+            ) from None
         except asyncio.CancelledError:
             if waiter.future.done() and not waiter.future.cancelled():
                 self.release(waiter.future.result())
@@ -138,20 +145,20 @@
             if waiter in self.waiters:
                 self.waiters.remove(waiter)
 
-    def release(self, place, *, work_s=None):
-        """Give a place back and wake whoever it suits.
+    def release(self, load, *, work_s=None):
+        """Release a slot and assign free slots to waiting requests.
 
         Parameters
         ----------
-        place : Place
-            The place.
+        load : EndpointLoad
+            Load of the endpoint whose slot is released.
         work_s : float, optional
-            Time that a whole answer took.
+            Duration of a request that was completed, in seconds.
         """
-        place.own -= 1
+        load.local_in_flight -= 1
         self._in_flight -= 1
         if work_s is not None:
-            weight = WORK_WEIGHT if self._work_s else 1.0
+            weight = WORK_SMOOTHING if self._work_s else 1.0
             self._work_s += weight * (work_s - self._work_s)
         now = self._clock.monotonic()
         self._completions.append(now)
@@ -160,60 +167,64 @@
         self.wake()
 
     def wake(self):
-        """Give free places to those that wait, in order."""
-        if not self.waiters or self._places.is_known_out(self._service):
+        """Assign free slots to waiting requests in their order."""
+        if not self.waiters or self._endpoint_table.is_unavailable(self._service):
             return
         now = self._clock.monotonic()
 
-        def turn_of(waiter):
-            return not waiter.is_under_way, *order_of(waiter.request, now)
+        def wake_order(waiter):
+            return not waiter.has_started, *wait_order(waiter.request, now)
 
-        for waiter in sorted(self.waiters, key=turn_of):
+        for waiter in sorted(self.waiters, key=wake_order):
             if waiter.future.done():
                 continue
-            place = self._choose(waiter.excluded, now)
-            if place is not None:
+            load = self._acquire_free_slot(waiter.excluded, now)
+            if load is not None:
                 self.waiters.remove(waiter)
-                waiter.future.set_result(place)
+                waiter.future.set_result(load)
             elif not waiter.excluded:
                 return
 
-    def _choose(self, excluded, now):
-        place = self._places.choose(self._service, now=now, excluded=excluded)
-        if place is not None:
-            place.own += 1
+    def _acquire_free_slot(self, excluded, now):
+        load = self._endpoint_table.select_endpoint(
+            self._service, now=now, excluded=excluded
+        )
+        if load is not None:
+            load.local_in_flight += 1
             self._in_flight += 1
-        return place
+        return load
 
-    def _refuse_hopeless(self, request, excluded, leave_at, now, *, ahead):
-        left = [
-            place
-            for place in self._places.places_of(self._service)
-            if place.endpoint.id not in excluded
+    def _reject_if_too_late(self, request, excluded, slot_deadline, now, *, ahead):
+        candidates = [
+            load
+            for load in self._endpoint_table.loads_of(self._service)
+            if load.endpoint.id not in excluded
         ]
-        if not left:
-            raise self._refusal("no endpoint may get requests", request)
-        returns_at = self._places.return_time(self._service, now=now)
-        if returns_at is not None and returns_at > leave_at:
-            raise self._refusal("every endpoint has failed", request)
-        if now + self._expected_wait_s(now, ahead) > leave_at:
-            raise self._refusal("the queue is too long", request)
+        if not candidates:
+            raise self._overloaded_error("no endpoint accepts requests", request)
+        returns_at = self._endpoint_table.next_return_time(self._service, now=now)
+        if returns_at is not None and returns_at > slot_deadline:
+            raise self._overloaded_error("all endpoints are ejected", request)
+        if now + self._expected_wait_s(now, ahead) > slot_deadline:
+            raise self._overloaded_error("the queue is too long", request)
 
     def _expected_wait_s(self, now, ahead):
         recent = sum(now - at <= RATE_WINDOW_S for at in self._completions)
         rate = completion_rate(recent / RATE_WINDOW_S, self._in_flight, self._work_s)
         return predicted_wait_s(ahead, rate)
 
-    def _outage_refusal(self, request, now):
-        left_s = request.ends_at - now
-        return self._refusal("a group has lost a rank", request, wait_s=left_s)
+    def _outage_error(self, request, now):
+        remaining_s = request.ends_at - now
+        return self._overloaded_error(
+            "a group has lost a rank", request, wait_s=remaining_s
+        )
 
-    def _refusal(self, detail, request, *, wait_s=None):
+    def _overloaded_error(self, detail, request, *, wait_s=None):
         now = self._clock.monotonic()
         if wait_s is None:
             wait_s = self._expected_wait_s(now, len(self.waiters))
         return MagnoliagradeError(
             ErrorKind.OVERLOADED,
-            f"{detail}: {len(self.waiters)} wait",
+            f"{detail}: {len(self.waiters)} requests waiting",
             retry_after=retry_after_s(wait_s, request.ends_at - now, rng=self._rng),
         )
