--- a/packages/magnoliagrade/magnoliagrade/world/__init__.py
+++ b/packages/magnoliagrade/magnoliagrade/world/__init__.py
@@ -1,4 +1,4 @@
-"""Objects that mirror the world: machines, zones, customers and contracts."""
+"""Typed objects of the system: instances, endpoints, pools, routes, requests."""
 
 from magnoliagrade.world.application import ROUTING_NAMES, Application, Pool, Work
 from magnoliagrade.world.data_centre import DataCentre
--- a/packages/magnoliagrade/magnoliagrade/world/application.py
+++ b/packages/magnoliagrade/magnoliagrade/world/application.py
@@ -1,16 +1,16 @@
-"""Pools of endpoints and the applications that callers address."""
+"""Pools of endpoints, and the applications that callers send requests to."""
 
 import enum
 from dataclasses import dataclass, field
 
 __all__ = ["ROUTING_NAMES", "Application", "Pool", "Work"]
 
-# Names that the entries' routing policies are registered under.
+# Names of the routing policies in the registry of the entries.
 ROUTING_NAMES = ("least-loaded", "prefix-affinity", "random", "two-choices")
 
 
 class Work(enum.Enum):
-    """Kind of work that an application sends to its back ends."""
+    """Kind of back end that serves an application's requests."""
 
     MODEL = "model"
     SERVICE = "service"
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Pool:
-    """Endpoints that are interchangeable for some requests.
+    """Set of endpoints any of which can serve the requests routed to the pool.
 
     Parameters
     ----------
@@ -27,17 +27,18 @@
     endpoint_selector : str
         Label selector over endpoints.
     data_centre_selector : str
-        Label selector over data centres; empty selects all.
+        Label selector over data centres; an empty one selects all.
     routing : str
         Name of the routing policy, one of `ROUTING_NAMES`.
     cold_limit : int
-        Tokens (or requests, for services) in flight that a cold endpoint bears.
+        Limit on the work in flight at a cold endpoint, in tokens for model engines
+        and in requests for services.
     full_limit : int
-        The same for an endpoint that is warm.
+        Limit on the work in flight at a warm endpoint, in the units of `cold_limit`.
     retry_budget : float
-        Retries allowed as a fraction of recent requests.
+        Maximum number of retries as a fraction of recent requests.
     options : dict of str to str
-        Options of policies, by dotted name.
+        Options of the pool's policies, by dotted name.
     """
 
     name: str
@@ -52,18 +53,19 @@
 
 @dataclass(slots=True, kw_only=True)
 class Application:
-    """Something callers address.
+    """A model or service that callers send requests to.
 
     Parameters
     ----------
     name : str
-        Model name for model work, first path segment for services.
+        Name of the model, or first path segment of a service.
     work : Work
         Kind of back end.
     idempotent_paths : list of str
-        Paths of a service whose calls may be repeated whatever their method.
+        Paths of a service whose requests may be retried regardless of method.
     deadline_s : float
-        Deadline in seconds when the caller sets none.
+        Time in seconds within which a request must be served if the caller sets no
+        deadline.
     """
 
     name: str
--- a/packages/magnoliagrade/magnoliagrade/world/data_centre.py
+++ b/packages/magnoliagrade/magnoliagrade/world/data_centre.py
@@ -1,4 +1,4 @@
-"""Data centres."""
+"""Data centres and their labels."""
 
 from dataclasses import dataclass, field
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class DataCentre:
-    """One data centre and the labels that operators gave it.
+    """One data centre and the labels that operators set on it.
 
     Parameters
     ----------
@@ -16,7 +16,7 @@
     region : str
         Name of its region.
     labels : dict of str to str
-        Operators' labels; `state=out` takes the data centre out.
+        Labels set by operators; `state=out` takes the data centre out of service.
     """
 
     name: str
@@ -25,5 +25,5 @@
 
     @property
     def is_out(self):
-        """Whether operators have taken the data centre out."""
+        """Whether operators have taken the data centre out of service."""
         return self.labels.get("state") == "out"
--- a/packages/magnoliagrade/magnoliagrade/world/endpoint.py
+++ b/packages/magnoliagrade/magnoliagrade/world/endpoint.py
@@ -1,4 +1,4 @@
-"""Endpoints: machines that run a model server or a plain service."""
+"""Endpoints, the instances that run a model engine or a plain service."""
 
 import enum
 from dataclasses import dataclass, field
@@ -7,7 +7,7 @@
 
 
 class EndpointState(enum.Enum):
-    """Whether an endpoint may be given new work."""
+    """State of an endpoint; only a ready one may be given new work."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -17,20 +17,20 @@
 
 @dataclass(slots=True, kw_only=True)
 class LoadReport:
-    """What an engine said of its load, some time ago.
+    """Load that an engine reported.
 
     Parameters
     ----------
     boot_id : str
-        Changes whenever the engine starts anew.
+        Id of the engine's start; changes whenever the engine restarts.
     running : int
         Requests in the current batch.
     waiting : int
         Requests waiting inside the engine.
     tokens_in_flight : int
-        Tokens held by running and waiting requests.
+        Tokens of running and waiting requests.
     cache_used : float
-        Fraction of the prefix cache in use.
+        Fraction of the prefix cache in use, from 0 to 1.
     age_s : float
         Age of the report in seconds when it was received.
     """
@@ -45,30 +45,31 @@
 
 @dataclass(slots=True, kw_only=True)
 class Endpoint:
-    """One endpoint as an entry sees it.
+    """State of one endpoint as known to an entry.
 
     Parameters
     ----------
     name : str
-        Name of the endpoint instance.
+        Name of the endpoint.
     data_centre : str
-        Where it stands.
+        Name of the data centre that it runs in.
     data_address : str
         `host:port` of its agent's HTTP listener.
     incarnation : int
-        Incarnation of its agent.
+        Incarnation of its agent, a number that tells its restarts apart.
     labels : dict of str to str
-        Labels from its settings, overridden by the operators'.
+        Labels from its settings, overridden by those of the operators.
     state : EndpointState
-        Whether it may be given new work.
+        State; only a ready endpoint may be given new work.
     report : LoadReport
-        Newest load report.
+        Latest load report.
     group : str
         Name of the expert-parallel group it belongs to, or empty.
     group_generation : int
-        Generation that its agent runs in; 0 while the group is not complete.
+        Generation of the group that its agent runs in; 0 while the group is
+        incomplete.
     is_group_complete : bool
-        Whether all ranks of the group that are seen run in one generation.
+        Whether all known ranks of the group run in the same generation.
     """
 
     name: str
--- a/packages/magnoliagrade/magnoliagrade/world/group.py
+++ b/packages/magnoliagrade/magnoliagrade/world/group.py
@@ -12,19 +12,19 @@
 ]
 
 OPTION_PREFIX = "option."
-# Named here as well as in the registry, so that checking a configuration needs none
-# of the policies' libraries.
+# Names of the rebalancing policies. They repeat those of the policy registry so that a
+# configuration can be checked without importing the libraries of the policies.
 REBALANCING_POLICIES = ("full-repack", "greedy", "static", "weighed")
 
 
 @dataclass(slots=True, kw_only=True)
 class Rank:
-    """One rank of a group and the endpoint that runs it.
+    """One rank of a group, and the endpoint that runs it.
 
     Parameters
     ----------
     index : int
-        Position in the group, from 0.
+        Index within the group, from 0.
     endpoint : str
         Name of the endpoint that runs it.
     """
@@ -35,14 +35,14 @@
 
 @dataclass(slots=True, kw_only=True)
 class ExpertMap:
-    """Placement of experts on ranks, per layer.
+    """Placement of the experts of each layer on the ranks of a group.
 
     Parameters
     ----------
     version : int
-        Strictly increasing number within the group.
+        Version number, strictly increasing within the group.
     placement : list of list of list of int
-        `placement[layer][rank]` lists the experts that the rank holds.
+        `placement[layer][rank]` lists the indices of the experts that the rank holds.
     """
 
     version: int
@@ -51,22 +51,22 @@
 
 @dataclass(slots=True, kw_only=True)
 class GroupOptions:
-    """Options of a group's rebalancing.
+    """Options of the rebalancing of a group.
 
     Parameters
     ----------
     interval_s : float
-        Seconds between plans.
+        Interval in seconds between rebalancing plans.
     half_life_s : float
-        Age in seconds at which a report of counts weighs half.
+        Half-life in seconds of the weight of a report of expert counts.
     horizon_s : float
-        Seconds for which a better map is expected to stay better.
+        Time in seconds over which the gain of a better map is expected to last.
     expert_bytes : float
-        Size of one expert of one layer.
+        Size in bytes of the weights of one expert in one layer.
     store_bytes_per_s : float
-        Rate of the weight store in the data centre.
+        Throughput of the weight store of the data centre, in bytes per second.
     store_share : float
-        Part of that rate which all rebalancing may use.
+        Fraction of `store_bytes_per_s` that all rebalancing together may use.
     """
 
     interval_s: float = 300.0
@@ -88,19 +88,19 @@
     ranks : int
         Number of ranks.
     experts : int
-        Experts in each layer.
+        Number of experts in each layer.
     layers : int
-        Layers with experts.
+        Number of layers with experts.
     slots_per_rank : int
-        Experts of one layer that a rank's memory holds.
+        Number of experts of one layer that fit into the memory of a rank.
     rebalancing : str
-        Name of the rebalancing policy.
+        Name of the rebalancing policy, one of `REBALANCING_POLICIES`.
     is_frozen : bool
         Whether operators have stopped rebalancing.
     pinned_version : int
-        Map version that operators have pinned; 0 for none.
+        Version of the expert map that operators have pinned; 0 for none.
     options : dict of str to str
-        Options of its rebalancing as they are configured, with their prefix.
+        Configured options of rebalancing, by name with `OPTION_PREFIX`.
     """
 
     name: str
@@ -114,7 +114,7 @@
     options: dict = field(default_factory=dict)
 
     def rebalancing_options(self):
-        """Return the options of rebalancing, those not configured at their default.
+        """Return the options of rebalancing, with defaults for those not configured.
 
         Examples
         --------
--- a/packages/magnoliagrade/magnoliagrade/world/instance.py
+++ b/packages/magnoliagrade/magnoliagrade/world/instance.py
@@ -1,4 +1,4 @@
-"""Instances as the platform's list names them."""
+"""Instances of the system as listed by the operators' platform."""
 
 import enum
 from dataclasses import dataclass
@@ -7,14 +7,14 @@
 
 
 class Role(enum.Enum):
-    """What an instance of the system does."""
+    """Role of an instance in the system."""
 
     ENTRY = "entry"
     AGENT = "agent"
 
 
 class InstanceState(enum.Enum):
-    """State of an instance in the platform's list."""
+    """State of an instance in the platform's list of instances."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -31,11 +31,11 @@
     role : Role
         Entry or agent.
     data_centre : str
-        Where it stands.
+        Name of the data centre that it runs in.
     control_address : str
         `host:port` of its control listener.
     state : InstanceState
-        Live or leaving; the list lags.
+        Live or leaving; the list is updated with a delay.
     """
 
     name: str
--- a/packages/magnoliagrade/magnoliagrade/world/organisation.py
+++ b/packages/magnoliagrade/magnoliagrade/world/organisation.py
@@ -1,4 +1,4 @@
-"""Organisations: the customers whose requests are served."""
+"""Organisations, the customers whose requests are served."""
 
 from dataclasses import dataclass, field
 
@@ -14,13 +14,13 @@
     name : str
         Name of the organisation.
     share : float
-        Weight in the fair queues.
+        Weight of its requests in the fair queues.
     rate_tokens_per_s : float
-        Ceiling on token cost a second over the fleet; 0 means none.
+        Rate limit over all entries, in tokens of cost per second; 0 means no limit.
     key_digests : list of str
-        SHA-256 digests (hex) of the organisation's keys.
+        SHA-256 digests of its API keys, in hexadecimal.
     labels : dict of str to str
-        Labels that are added to each of its requests.
+        Labels added to each of its requests.
     """
 
     name: str
--- a/packages/magnoliagrade/magnoliagrade/world/request.py
+++ b/packages/magnoliagrade/magnoliagrade/world/request.py
@@ -1,4 +1,4 @@
-"""Requests: the contract between a caller and the system."""
+"""Requests of callers."""
 
 from dataclasses import dataclass, field
 
@@ -7,48 +7,49 @@
 
 @dataclass(slots=True, kw_only=True)
 class Request:
-    """One request as it was understood on arrival.
+    """One request of a caller, as parsed on arrival.
 
     Parameters
     ----------
     id : str
-        Request id, echoed in the answer.
+        Request id, returned with the response.
     organisation : str
         Name of the organisation that sent it.
     application : str
-        Application it addresses.
+        Name of the application that it is for.
     method : str
         HTTP method.
     path : str
-        Path with query string, as forwarded.
+        Path with query string, as forwarded to the endpoint.
     header_by_name : dict of str to str
-        End-to-end headers that are forwarded, names in lower case.
+        End-to-end headers that are forwarded, by name in lower case.
     body : bytes
-        Whole body.
+        Complete body.
     labels : dict of str to str
-        Request labels.
+        Labels that routes select requests by.
     repeatable : bool
-        Whether it may run more than once.
+        Whether it may be executed more than once.
     streaming : bool
-        Whether the answer is a stream of server-sent events.
+        Whether the response is a stream of server-sent events.
     idempotency_key : str
-        Caller's key, or empty.
+        Idempotency key set by the caller, or empty.
     priority : int
-        Higher is more urgent; passed to the engine.
+        Priority, passed on to the engine; a higher value is more urgent.
     deadline : float
-        Monotonic time of the receiving process by which the answer is due.
+        Time in seconds, on the monotonic clock of the receiving process, by which the
+        response is due.
     prompt_tokens : int
-        Estimate of the prompt's tokens; 0 for services.
+        Estimated number of prompt tokens; 0 for services.
     output_tokens : int
-        Estimate of the tokens to be generated; 0 for services.
+        Estimated number of tokens to be generated; 0 for services.
     prefix_hash : int
-        Hash of the head of the prompt, for prefix affinity.
+        Hash of the beginning of the prompt, used by prefix-affinity routing.
     forwarded_from : str
-        Data centre of the peer entry that forwarded it, or empty.
+        Data centre of the peer entry that forwarded the request, or empty.
     forwarded_attempt : str
         Id of that peer's attempt, or empty.
     attempt_count : int
-        Attempts made so far.
+        Number of attempts made so far.
     """
 
     id: str
@@ -73,5 +74,5 @@
 
     @property
     def cost(self):
-        """Return what the request weighs: tokens, or 1 for a service call."""
+        """Return the estimated cost of the request: tokens, or 1 for a service."""
         return max(1, self.prompt_tokens + self.output_tokens)
--- a/packages/magnoliagrade/magnoliagrade/world/route.py
+++ b/packages/magnoliagrade/magnoliagrade/world/route.py
@@ -1,4 +1,4 @@
-"""Routes: which requests belong to which pool."""
+"""Routes, which map requests to pools."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Route:
-    """A rule that sends requests with certain labels to a pool.
+    """A rule that maps requests to a pool by their labels.
 
     Parameters
     ----------
@@ -16,10 +16,10 @@
     pool : str
         Name of the pool.
     request_selector : str
-        Label selector over request labels; each request carries the label
-        `application` besides those of its organisation and its caller.
+        Label selector over request labels. Each request has the label
+        `application` in addition to the labels of its organisation and its caller.
     order : int
-        Routes are tried by ascending order, then by name.
+        Routes are tried in ascending order; routes of equal order by name.
     """
 
     name: str
--- a/packages/magnoliagrade/magnoliagrade/world/site.py
+++ b/packages/magnoliagrade/magnoliagrade/world/site.py
@@ -1,4 +1,4 @@
-"""What an operator's platform describes: routes, services and their endpoints."""
+"""Objects of the operators' platform: routes, services and their endpoints."""
 
 import enum
 from dataclasses import dataclass, field
@@ -18,7 +18,7 @@
 
 
 class RouteKind(enum.Enum):
-    """What may be repeated of a route's requests."""
+    """Whether the requests of a route may be retried, and whether they stream."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class ServiceShare:
-    """Part of a route's requests that goes to one service."""
+    """Weight of one service among those that share the requests of a route."""
 
     service: str
     weight: float
@@ -35,30 +35,30 @@
 
 @dataclass(slots=True, kw_only=True)
 class ServiceRoute:
-    """Requests of one host whose paths begin with one prefix.
+    """Rule for the requests to one host whose paths begin with one prefix.
 
     Parameters
     ----------
     name, host, prefix : str
-        Name, host and path prefix.
+        Name of the route, host and path prefix that it matches.
     kind : RouteKind
-        What may be repeated.
+        Whether requests may be retried, and whether responses are streams.
     shares : list of ServiceShare
-        Services that the route's requests are spread over.
+        Services that the requests are distributed over, with their weights.
     timeout_s : float
-        Longest time to an answer, in seconds.
+        Timeout of a request, in seconds.
     objective_s : float
-        Latency objective, in seconds; of a stream, to its first event.
+        Latency objective, in seconds; for a stream, the time to its first event.
     gap_objective_s : float
-        Longest pause between events that counts as in time, in seconds.
+        Objective for the longest gap between two events of a stream, in seconds.
     priority : int
-        Rank of the route; 0 goes first.
+        Priority of the requests; 0 is served first.
     max_endpoints : int
-        Endpoints that one request may be sent to.
+        Maximum number of endpoints that one request is sent to.
     is_public : bool
-        Whether requests need no key.
+        Whether requests are accepted without an API key.
     is_resumable : bool
-        Whether a broken stream may be continued at another endpoint.
+        Whether a broken stream may be resumed at another endpoint.
     """
 
     name: str
@@ -76,39 +76,39 @@
 
     @property
     def is_stream(self):
-        """Whether answers are streams of events."""
+        """Whether responses are streams of events."""
         return self.kind is RouteKind.STREAM
 
     @property
     def is_idempotent(self):
-        """Whether a request may run more than once."""
+        """Whether a request may be executed more than once."""
         return self.kind is RouteKind.SAFE or (self.is_stream and self.is_resumable)
 
 
 @dataclass(slots=True, kw_only=True)
 class EngineProfile:
-    """How a model engine turns work into time.
+    """Parameters of the cost model of a model engine.
 
     Parameters
     ----------
     slots : int
-        Requests that run at once.
+        Maximum number of requests that run at the same time.
     step_s, sequence_s, context_1000_s : float
-        Seconds of one step, of each sequence in it, and of each thousand tokens of a
-        sequence's context.
+        Time in seconds of one step, and the time that each sequence and each thousand
+        tokens of a sequence's context add to it.
     read_tokens_per_s : float
-        Prompt tokens that are read a second.
+        Prompt tokens processed per second.
     steps_per_pass : int
-        Steps of a pass that writes.
+        Number of steps in one decoding pass.
     usual_prompt, usual_answer : float
-        Mean tokens of prompts and of answers.
+        Mean number of tokens of a prompt and of a response.
     sets, experts, places, spare : int
-        Sets of layers, experts of a set, experts that a rank holds of a set, and those
-        that may be prepared besides.
+        Number of sets of layers, of experts in a set, of experts of a set that a rank
+        holds, and of further experts that a rank may prepare.
     expert_share : float
-        Part of a token's work that the experts do.
+        Fraction of the work on a token that is done by experts.
     expert_mb : float
-        Megabytes of one expert.
+        Size of one expert, in megabytes.
     """
 
     slots: int
@@ -136,11 +136,11 @@
     name : str
         Name of the service.
     max_connections : int
-        Connections that one endpoint accepts from all callers together.
+        Maximum number of connections that one endpoint accepts from all its clients.
     cold_per_s : float
-        Requests a second that a cold endpoint bears; 0 means no limit.
+        Requests per second that a cold endpoint sustains; 0 means no limit.
     engine : EngineProfile or None
-        Set for model engines.
+        Cost model if the service is a model engine, else None.
     """
 
     name: str
@@ -151,14 +151,14 @@
 
 @dataclass(slots=True, kw_only=True)
 class SiteOrganisation:
-    """A customer with its keys.
+    """A customer as described by the operators' platform.
 
     Parameters
     ----------
     name : str
         Name of the organisation.
     priority : int or None
-        Rank that goes before a route's; None leaves that.
+        Priority that overrides that of the route; None keeps that of the route.
     """
 
     name: str
@@ -167,7 +167,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class SiteLimits:
-    """What a caller's connection may ask."""
+    """Limits on the size of requests and on the idle time of connections."""
 
     header_bytes: int = 16 * 1024
     body_bytes: int = 4 * 1024 * 1024
@@ -177,20 +177,20 @@
 
 @dataclass(slots=True, kw_only=True)
 class SiteConfiguration:
-    """One version of what the operators ask for.
+    """One version of the site configuration.
 
     Parameters
     ----------
     version : int
-        Number that rises with each change.
+        Version number, strictly increasing with each change.
     routes : list of ServiceRoute
         Routes.
     service_by_name : dict of str to BackEndService
         Services.
     organisation_by_key : dict of str to SiteOrganisation or None
-        Organisations by each of their keys; None where requests need no key.
+        Organisations by API key; None if requests need no key.
     limits : SiteLimits
-        Limits on callers.
+        Limits on the requests and connections of callers.
     """
 
     version: int
@@ -202,24 +202,24 @@
 
 @dataclass(slots=True, kw_only=True)
 class SiteEndpoint:
-    """A server that registered itself.
+    """An endpoint as registered by its server.
 
     Parameters
     ----------
     id : str
         Id of its incarnation.
     service : str
-        Service that it belongs to.
+        Name of the service that it belongs to.
     address : str
         `host:port`.
     data_centre : str
-        Data centre that it stands in.
+        Name of the data centre that it runs in.
     slots : int
-        Requests that it runs at once.
+        Number of requests that it runs at the same time.
     is_draining : bool
-        Whether it is leaving.
+        Whether it is about to leave and takes no new requests.
     cold_s : float
-        Seconds that it stayed cold after the entry was written.
+        Time in seconds that it is cold after its registration was written.
     """
 
     id: str
@@ -233,34 +233,37 @@
 
 @dataclass(slots=True, kw_only=True)
 class RankStatus:
-    """What a rank of an expert-parallel group says of itself.
+    """Status that a rank of an expert-parallel group reports.
 
     Parameters
     ----------
     group : str
-        Name of the group; empty for a server that is in none.
+        Name of the group; empty for a server that belongs to no group.
     epoch : int
-        Number of the group's formation; maps, arms and holds end with it.
+        Number of the group's current formation. Expert maps, armed switches and holds
+        are valid in one epoch only.
     rank, size : int
-        Position in the group and number of its ranks.
+        Index within the group, and number of ranks of the group.
     is_open : bool
         Whether the group runs passes.
     born_ms : int
-        Unix time of the server's start, in milliseconds.
+        Unix time of the start of the server, in milliseconds.
     step : int
-        Last pass that was begun.
+        Number of the last pass that was started.
     map_version : int
-        Expert map in use.
+        Version of the expert map in use.
     prepared_version : int or None
-        Expert map that has been copied and may be armed.
+        Version of the expert map that has been copied and may be armed; None if none.
     armed_version, armed_step : int or None
-        Expert map that is switched to as a pass begins, and that pass.
+        Version of the expert map to switch to, and number of the pass at whose start
+        it is switched to; None if no switch is armed.
     held_step : int or None
-        Pass that the group does not begin until it is released.
+        Number of the pass that the group does not start before it is released; None
+        if no pass is held.
     running, waiting : int
-        Requests that run and that wait at the rank.
+        Number of running and of waiting requests at the rank.
     pace : float
-        Time that its work takes, as a multiple of the usual; above 1 it is slow.
+        Time per pass relative to normal: 1 is normal, 2.0 is twice as slow.
     """
 
     group: str = ""
