--- a/packages/magnoliagrade/magnoliagrade/configuration/__init__.py
+++ b/packages/magnoliagrade/magnoliagrade/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""Settings of a process and the operators' configuration."""
+"""Settings of a process, and the operators' configuration."""
 
 from magnoliagrade.configuration.changes import (
     ReplaceAll,
--- a/packages/magnoliagrade/magnoliagrade/configuration/changes.py
+++ b/packages/magnoliagrade/magnoliagrade/configuration/changes.py
@@ -1,4 +1,4 @@
-"""Changes that operators make, as objects that can be tried again."""
+"""Changes of the configuration, as objects that can be applied repeatedly."""
 
 import copy
 import dataclasses
@@ -22,18 +22,18 @@
     text : str
         INI text.
     file : str
-        Name of the file for problems.
+        Name of the file, used in reported problems.
     """
 
     text: str
     file: str = "configuration"
 
-    def make(self, configuration):
+    def apply_to(self, configuration):
         """Return the configuration after the change."""
         return parse_configuration(self.text, file=self.file)
 
-    def touched(self, configuration):
-        """Return what must not have changed meanwhile: everything."""
+    def affected_values(self, configuration):
+        """Return the values that a concurrent change must not alter: all of them."""
         return format_configuration(configuration)
 
     def summary(self, before, after):
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class SetLabels:
-    """Sets and removes labels of one endpoint or data centre.
+    """Sets and removes labels of one endpoint, data centre or organisation.
 
     Parameters
     ----------
@@ -62,14 +62,14 @@
     value_by_label: dict = field(default_factory=dict)
     removed: list = field(default_factory=list)
 
-    def make(self, configuration):
+    def apply_to(self, configuration):
         """Return the configuration after the change.
 
         Raises
         ------
         MagnoliagradeError
-            `INVALID_REQUEST` if the kind has no labels, the object does not exist
-            or a label is not allowed.
+            `INVALID_REQUEST` if the kind has no labels, the organisation does not
+            exist, or a name, label or value is invalid.
         """
         self._check()
         after = _copy(configuration)
@@ -77,12 +77,12 @@
         for label in self.removed:
             labels.pop(label, None)
         labels.update(self.value_by_label)
-        _LABEL_WRITERS[self.kind](after, self.name, labels)
+        _LABEL_WRITER_BY_KIND[self.kind](after, self.name, labels)
         after.index()
         return after
 
-    def touched(self, configuration):
-        """Return the values of the labels that the change is about."""
+    def affected_values(self, configuration):
+        """Return the values that a concurrent change must not alter: its labels."""
         labels = _labels_of(configuration, self.kind, self.name)
         names = [*self.value_by_label, *self.removed]
         return {name: labels.get(name) for name in names}
@@ -94,39 +94,42 @@
         return f"label {self.kind} {self.name} {' '.join(words)}"
 
     def _check(self):
-        if self.kind not in _LABEL_WRITERS:
-            kinds = ", ".join(sorted(_LABEL_WRITERS))
-            _refuse(f"kind {self.kind!r} has no labels; known: {kinds}")
+        if self.kind not in _LABEL_WRITER_BY_KIND:
+            kinds = ", ".join(sorted(_LABEL_WRITER_BY_KIND))
+            _reject(f"kind {self.kind!r} has no labels; allowed: {kinds}")
         if not NAME_PATTERN.fullmatch(self.name):
-            _refuse(f"name {self.name!r} is not allowed")
+            _reject(f"name {self.name!r} does not match {NAME_PATTERN.pattern}")
         for label, value in self.value_by_label.items():
             if not NAME_PATTERN.fullmatch(label):
-                _refuse(f"label {label!r} is not allowed")
+                _reject(f"label {label!r} does not match {NAME_PATTERN.pattern}")
             if "," in value or value != " ".join(value.split()):
-                _refuse(f"value {value!r} of label {label!r} is not allowed")
-        both = set(self.value_by_label) & set(self.removed)
-        if both:
-            _refuse(f"label {min(both)!r} is both set and removed")
+                _reject(
+                    f"value {value!r} of label {label!r} has a comma, or white space "
+                    "other than single spaces between words"
+                )
+        conflicting = set(self.value_by_label) & set(self.removed)
+        if conflicting:
+            _reject(f"label {min(conflicting)!r} is both set and removed")
 
 
-_CHANGE_BY_NAME = {"replace": ReplaceAll, "labels": SetLabels}
+_CHANGE_CLASS_BY_NAME = {"replace": ReplaceAll, "labels": SetLabels}
 
 
 def change_to_fields(change):
-    """Return a change as a mapping ready for JSON."""
-    for name, cls in _CHANGE_BY_NAME.items():
+    """Return a change as a dictionary that can be written as JSON."""
+    for name, cls in _CHANGE_CLASS_BY_NAME.items():
         if isinstance(change, cls):
             return {"change": name, **dataclasses.asdict(change)}
-    raise TypeError(f"{type(change).__name__} is no change")
+    raise TypeError(f"{type(change).__name__} is not a known class of changes")
 
 
 def change_from_fields(fields):
-    """Return the change that a mapping describes.
+    """Return the change described by a dictionary from `change_to_fields`.
 
     Raises
     ------
     MagnoliagradeError
-        `INVALID_REQUEST` if it describes none.
+        `INVALID_REQUEST` if the dictionary does not describe a change.
 
     Examples
     --------
@@ -135,34 +138,40 @@
     """
     try:
         rest = dict(fields)
-        cls = _CHANGE_BY_NAME[rest.pop("change")]
+        cls = _CHANGE_CLASS_BY_NAME[rest.pop("change")]
         change = cls(**rest)
-        for column in dataclasses.fields(change):
-            value = getattr(change, column.name)
-            if not isinstance(value, column.type):
-                raise TypeError(f"{column.name} is no {column.type.__name__}")
+        for attribute in dataclasses.fields(change):
+            value = getattr(change, attribute.name)
+            if not isinstance(value, attribute.type):
+                raise TypeError(
+                    f"{attribute.name} must be a {attribute.type.__name__}, "
+                    f"got {value!r:.200}"
+                )
         texts = [
             *getattr(change, "removed", ()),
             *getattr(change, "value_by_label", {}).values(),
         ]
         if not all(isinstance(text, str) for text in texts):
-            raise TypeError("a label is no text")
+            raise TypeError(f"labels must be texts, got {texts!r:.200}")
     except (KeyError, TypeError, ValueError) as exc:
-        detail = f"the body describes no change: {exc}"
+        detail = (
+            f"the body is not a valid change (one of "
+            f"{', '.join(_CHANGE_CLASS_BY_NAME)}): {exc!r}"
+        )
         raise MagnoliagradeError(ErrorKind.INVALID_REQUEST, detail) from exc
     return change
 
 
-def _refuse(detail):
+def _reject(detail):
     raise MagnoliagradeError(ErrorKind.INVALID_REQUEST, detail)
 
 
 def _copy(configuration):
     after = copy.copy(configuration)
-    for column in dataclasses.fields(configuration):
-        value = getattr(configuration, column.name)
+    for attribute in dataclasses.fields(configuration):
+        value = getattr(configuration, attribute.name)
         if isinstance(value, dict):
-            setattr(after, column.name, dict(value))
+            setattr(after, attribute.name, dict(value))
     return after
 
 
@@ -188,11 +197,11 @@
 def _write_organisation(configuration, name, labels):
     item = configuration.organisation_by_name.get(name)
     if item is None:
-        _refuse(f"organisation {name!r} does not exist")
+        _reject(f"organisation {name!r} is not defined in the configuration")
     configuration.organisation_by_name[name] = dataclasses.replace(item, labels=labels)
 
 
-_LABEL_WRITERS = {
+_LABEL_WRITER_BY_KIND = {
     "data_centre": _write_data_centre,
     "endpoint": _write_endpoint,
     "organisation": _write_organisation,
--- a/packages/magnoliagrade/magnoliagrade/configuration/chunks.py
+++ b/packages/magnoliagrade/magnoliagrade/configuration/chunks.py
@@ -1,4 +1,4 @@
-"""Cutting a configuration into chunks and putting chunks together."""
+"""Splitting of a configuration into chunks, and joining of chunks."""
 
 import hashlib
 
@@ -19,12 +19,13 @@
     "split_configuration",
 ]
 
-SECTIONS_PER_CHUNK = 48
-DIGEST_BYTES = 16
+# Upper limit on the average number of sections in the chunks of one kind.
+MAX_MEAN_SECTIONS_PER_CHUNK = 48
+CHUNK_DIGEST_BYTES = 16
 
 
 def split_configuration(configuration):
-    r"""Return the contents of all chunks of a configuration, by name of chunk.
+    r"""Return the contents of all chunks of a configuration, by chunk name.
 
     Parameters
     ----------
@@ -34,13 +35,13 @@
     Returns
     -------
     content_by_name : dict of str to str
-        INI texts. A name is `KIND/COUNT/INDEX`.
+        INI text of each chunk; the name of a chunk is `KIND/COUNT/INDEX`.
 
     Notes
     -----
-    A section goes to the chunk that the hash of its name gives, out of a power of
-    two of chunks, so that a change of one section changes one chunk. Only when the
-    number of sections of a kind crosses a power of two do all its chunks change.
+    The number of chunks of a kind is a power of two, and the hash of a section's name
+    selects its chunk, so that a change of one section changes one chunk. All chunks
+    of a kind change only when its number of chunks doubles or halves.
 
     Examples
     --------
@@ -62,13 +63,13 @@
 
 
 def join_chunks(content_by_name):
-    """Return the text of a whole configuration from its chunks."""
+    """Return the text of the complete configuration that chunks make up."""
     return "".join(content_by_name[name] for name in sorted(content_by_name))
 
 
 def chunk_digest(content):
-    """Return the digest of a chunk's content as hexadecimal text."""
-    return hashlib.blake2b(content.encode(), digest_size=DIGEST_BYTES).hexdigest()
+    """Return the BLAKE2b digest of a chunk's content, in hexadecimal."""
+    return hashlib.blake2b(content.encode(), digest_size=CHUNK_DIGEST_BYTES).hexdigest()
 
 
 def chunk_kind(name):
@@ -83,14 +84,14 @@
 
 
 def parse_chunk(name, content):
-    """Return the part of a configuration that a chunk describes.
+    """Return the part of a configuration that one chunk describes.
 
     Raises
     ------
     InvalidDocument
-        If it cannot be read.
+        If the content of the chunk is invalid.
     """
-    return parse_configuration(content, file=name, is_whole=False)
+    return parse_configuration(content, file=name, is_complete=False)
 
 
 def join_parsed_chunks(parts, *, revision):
@@ -99,39 +100,39 @@
     Parameters
     ----------
     parts : iterable of Configuration
-        One for each chunk.
+        Parsed content of each chunk.
     revision : int
         Revision of the result.
 
     Raises
     ------
     InvalidDocument
-        If a name is used that no chunk defines.
+        If a name is undefined, or two organisations share an API key.
     """
-    whole = Configuration(revision=revision)
+    joined = Configuration(revision=revision)
     for part in parts:
-        for attribute in _collections():
-            getattr(whole, attribute).update(getattr(part, attribute))
+        for attribute in _collection_names():
+            getattr(joined, attribute).update(getattr(part, attribute))
     problems = []
     check_references(
-        whole,
+        joined,
         lambda section, key, allowed: problems.append(
             Problem(section=section, key=key, allowed=allowed)
         ),
     )
     if problems:
         raise InvalidDocument(ErrorKind.CONFIGURATION_INVALID, problems)
-    whole.index()
-    return whole
+    joined.index()
+    return joined
 
 
 class ParsedChunks:
-    """Parsed chunks by digest, so that a change parses only what it changed.
+    """Cache of parsed chunks by digest, so that only changed chunks are parsed.
 
     Parameters
     ----------
     skipped_kinds : sequence of str
-        Kinds of sections that this process has no use for.
+        Kinds of sections that are not parsed.
     """
 
     __slots__ = ("_part_by_digest", "_skipped_kinds")
@@ -141,11 +142,11 @@
         self._skipped_kinds = frozenset(skipped_kinds)
 
     def needs(self, name):
-        """Return whether a chunk is parsed here at all."""
+        """Return whether a chunk is of a kind that is parsed."""
         return chunk_kind(name) not in self._skipped_kinds
 
     def missing(self, stored):
-        """Return the names of chunks of a stored configuration not parsed yet."""
+        """Return the names of the chunks that a configuration has yet to parse."""
         return [
             name
             for name, reference in stored.root.chunk_by_name.items()
@@ -153,19 +154,19 @@
         ]
 
     def parse(self, stored, name):
-        """Parse one chunk of a stored configuration."""
+        """Parse one chunk of a stored configuration into the cache."""
         digest = stored.root.chunk_by_name[name].digest
         self._part_by_digest[digest] = parse_chunk(
             name, stored.content_by_digest[digest]
         )
 
     def join(self, stored):
-        """Return a stored configuration as objects; forget all other chunks.
+        """Return a stored configuration as objects; drop all other chunks.
 
         Raises
         ------
         InvalidDocument
-            If it cannot be parsed.
+            If the stored configuration is invalid.
         """
         for name in self.missing(stored):
             self.parse(stored, name)
@@ -175,18 +176,18 @@
             if self.needs(name)
         ]
         kept = {digest: self._part_by_digest[digest] for digest in digests}
-        whole = join_parsed_chunks(kept.values(), revision=stored.revision)
+        joined = join_parsed_chunks(kept.values(), revision=stored.revision)
         self._part_by_digest = kept
-        return whole
+        return joined
 
 
 def _chunk_count(sections):
     count = 1
-    while count * SECTIONS_PER_CHUNK < sections:
+    while count * MAX_MEAN_SECTIONS_PER_CHUNK < sections:
         count *= 2
     return count
 
 
-def _collections():
+def _collection_names():
     names = Configuration.__dataclass_fields__
     return [n for n in names if n.endswith("_by_name")]
--- a/packages/magnoliagrade/magnoliagrade/configuration/difference.py
+++ b/packages/magnoliagrade/magnoliagrade/configuration/difference.py
@@ -1,4 +1,4 @@
-"""What differs between two configurations."""
+"""Differences between two configurations."""
 
 from dataclasses import dataclass
 
@@ -9,18 +9,18 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Difference:
-    """One value that differs.
+    """One value that differs between two configurations.
 
     Parameters
     ----------
     section : str
-        `KIND NAME`.
+        Section as `KIND NAME`.
     key : str
-        Key; empty for a section that was added or removed.
+        Key, or empty for a section that was added or removed.
     before : str or None
-        Text before; None if it was not there.
+        Text before the change; None if there was none.
     after : str or None
-        Text after; None if it is not there any more.
+        Text after the change; None if there is none.
     """
 
     section: str
@@ -30,17 +30,18 @@
 
 
 def differences(before, after):
-    r"""Return the values that differ between two configurations, in order.
+    r"""Return the values that differ between two configurations, sorted.
 
     Parameters
     ----------
     before, after : Configuration
-        What to compare.
+        Configurations to compare.
 
     Returns
     -------
     rows : list of Difference
-        A section that only one of them has comes as one row without a key.
+        One row per value, by kind, name and key of its section. A section that only
+        one of the two has is one row with an empty key.
 
     Examples
     --------
--- a/packages/magnoliagrade/magnoliagrade/configuration/document.py
+++ b/packages/magnoliagrade/magnoliagrade/configuration/document.py
@@ -10,12 +10,12 @@
 
 @dataclass(slots=True, kw_only=True)
 class Configuration:
-    """Everything that operators decide, at one revision.
+    """One revision of the operators' configuration.
 
     Parameters
     ----------
     revision : int
-        Strictly increasing number; 0 means no configuration.
+        Revision number, strictly increasing; 0 means no configuration.
     data_centre_by_name : dict of str to DataCentre
         Data centres.
     pool_by_name : dict of str to Pool
@@ -27,7 +27,8 @@
     organisation_by_name : dict of str to Organisation
         Organisations.
     endpoint_labels_by_name : dict of str to dict
-        Operators' labels on endpoints, which override those of their settings.
+        Labels set by operators on endpoints; they override the labels of the
+        endpoint's settings.
     group_by_name : dict of str to Group
         Expert-parallel groups.
     """
@@ -43,19 +44,19 @@
     _organisation_by_digest: dict = field(default_factory=dict, compare=False)
 
     def index(self):
-        """Index organisations by the digests of their keys."""
+        """Build the index of organisations by the digests of their API keys."""
         self._organisation_by_digest.clear()
         for organisation in self.organisation_by_name.values():
             for digest in organisation.key_digests:
                 self._organisation_by_digest[digest] = organisation
 
     def organisation_of_key(self, key):
-        """Return the organisation that a key belongs to, or None."""
+        """Return the organisation that an API key belongs to, or None."""
         digest = hashlib.sha256(key.encode()).hexdigest()
         return self._organisation_by_digest.get(digest)
 
     def pool_of(self, labels):
-        """Return the pool that request labels lead to, or None.
+        """Return the pool that requests with these labels are routed to, or None.
 
         Parameters
         ----------
@@ -68,11 +69,14 @@
                 return self.pool_by_name.get(route.pool)
         return None
 
-    def labels_of(self, endpoint_name, own_labels):
-        """Return an endpoint's labels with the operators' on top."""
-        return {**own_labels, **self.endpoint_labels_by_name.get(endpoint_name, {})}
+    def labels_of(self, endpoint_name, endpoint_labels):
+        """Return an endpoint's labels, overridden by those set by operators."""
+        return {
+            **endpoint_labels,
+            **self.endpoint_labels_by_name.get(endpoint_name, {}),
+        }
 
     def is_data_centre_out(self, name):
-        """Return whether operators have taken a data centre out."""
+        """Return whether operators have taken a data centre out of service."""
         data_centre = self.data_centre_by_name.get(name)
         return data_centre is not None and data_centre.is_out
--- a/packages/magnoliagrade/magnoliagrade/configuration/fields.py
+++ b/packages/magnoliagrade/magnoliagrade/configuration/fields.py
@@ -1,4 +1,4 @@
-"""Values of one section of the configuration, taken out and checked one by one."""
+"""Reading and checking of the values of one section of the configuration."""
 
 import re
 
@@ -11,16 +11,16 @@
 
 
 class SectionFields:
-    """Values of one section, taken out one by one.
+    """Values of one section; each method removes the value that it returns.
 
     Parameters
     ----------
-    reader : _Reader
-        Where problems go.
+    reader : _DocumentReader
+        Reader that problems are reported to.
     section : str
         Name of the section.
     values : dict of str to str
-        Its keys and texts.
+        Texts of the section by key; modified.
     """
 
     __slots__ = ("_reader", "_section", "_values")
@@ -31,7 +31,7 @@
         self._values = values
 
     def text(self, key, default="", *, choices=()):
-        """Return a text, optionally one of several."""
+        """Return the text of a key; report it if it is not one of the choices."""
         value = self._values.pop(key, default)
         if choices and value not in choices:
             allowed = f"{value!r} is not one of {', '.join(choices)}"
@@ -39,44 +39,48 @@
         return value
 
     def number(self, key, default, *, low, high, kind=float):
-        """Return a number within bounds."""
+        """Return the number of a key, or the default after reporting a bad one."""
         text = self._values.pop(key, str(default))
         try:
             value = kind(text)
         except ValueError:
             value = None
         if value is None or not low <= value <= high:
-            allowed = f"{text!r} is not a number from {low} to {high}"
+            allowed = f"{text!r} is not a number ({kind.__name__}) from {low} to {high}"
             self._reader.report(self._section, key, allowed)
             return default
         return value
 
-    def names(self, key):
-        """Return a list of texts separated by commas."""
+    def text_list(self, key):
+        """Return the comma-separated texts of a key as a list."""
         parts = self._values.pop(key, "").split(",")
         return [p.strip() for p in parts if p.strip()]
 
-    def matching_names(self, key, pattern, what):
-        """Return a list of texts that each have to match a pattern."""
-        names = self.names(key)
-        for name in names:
-            if not pattern.fullmatch(name):
-                self._reader.report(self._section, key, f"{name!r} is not {what}")
-        return names
+    def matching_texts(self, key, pattern, what):
+        """Return a list of texts; report those that do not match a pattern."""
+        texts = self.text_list(key)
+        for text in texts:
+            if not pattern.fullmatch(text):
+                self._reader.report(self._section, key, f"{text!r} is not {what}")
+        return texts
 
     def labels(self, key="labels"):
-        """Return labels written as `a=b, c=d`."""
+        """Return labels written as `a=b, c=d`; report and leave out invalid ones."""
         labels = {}
-        for part in self.names(key):
+        for part in self.text_list(key):
             name, equals, value = part.partition("=")
             if not equals or not NAME_PATTERN.fullmatch(name.strip()):
-                self._reader.report(self._section, key, f"{part!r} is not name=value")
+                self._reader.report(
+                    self._section,
+                    key,
+                    f"{part!r} is not name=value; names match {NAME_PATTERN.pattern}",
+                )
                 continue
             labels[name.strip()] = value.strip()
         return labels
 
     def selector(self, key):
-        """Return the text of a selector after checking it."""
+        """Return the text of a selector; report it if it does not parse."""
         text = self._values.pop(key, "")
         try:
             parse_selector(text)
@@ -85,15 +89,15 @@
         return text
 
     def options(self, prefix):
-        """Return the remaining keys that start with a prefix."""
+        """Return the remaining values whose keys start with a prefix, by key."""
         keys = [k for k in self._values if k.startswith(prefix)]
         return {k: self._values.pop(k) for k in keys}
 
     def report(self, key, text):
-        """Report what is wrong with a key."""
+        """Report a problem with the value of a key."""
         self._reader.report(self._section, key, text)
 
-    def finish(self):
-        """Report keys that nothing took."""
+    def report_unknown_keys(self):
+        """Report the keys that no method has read."""
         for key in self._values:
             self._reader.report(self._section, key, "unknown key")
--- a/packages/magnoliagrade/magnoliagrade/configuration/group_section.py
+++ b/packages/magnoliagrade/magnoliagrade/configuration/group_section.py
@@ -6,16 +6,16 @@
 
 
 def read_group(configuration, name, fields):
-    """Enter the group that a section describes.
+    """Add the group that a section describes to a configuration.
 
     Parameters
     ----------
     configuration : Configuration
-        Where the group is entered.
+        Configuration that the group is added to.
     name : str
         Name of the group.
     fields : SectionFields
-        The section's values; problems are reported there.
+        Values of the section; problems are reported through it.
     """
     frozen = fields.text("frozen", "false", choices=("true", "false"))
     group = Group(
@@ -31,9 +31,12 @@
         ),
         options=_read_options(fields),
     )
-    places = group.ranks * group.slots_per_rank
-    if places < group.experts:
-        text = f"{group.experts} experts do not fit into {places} places"
+    slots = group.ranks * group.slots_per_rank
+    if slots < group.experts:
+        text = (
+            f"{group.experts} experts do not fit into {slots} slots "
+            "(ranks * slots_per_rank)"
+        )
         fields.report("slots_per_rank", text)
     configuration.group_by_name[name] = group
 
@@ -43,7 +46,7 @@
     for key, text in options.items():
         bounds = _BOUNDS_BY_KEY.get(key)
         if bounds is None:
-            fields.report(key, "unknown key")
+            fields.report(key, f"unknown key; allowed: {', '.join(_BOUNDS_BY_KEY)}")
         elif not _is_within(text, *bounds):
             low, high = bounds
             fields.report(key, f"{text!r} is not a number from {low} to {high}")
--- a/packages/magnoliagrade/magnoliagrade/configuration/ini.py
+++ b/packages/magnoliagrade/magnoliagrade/configuration/ini.py
@@ -1,4 +1,4 @@
-"""The INI form of the operators' configuration."""
+"""Parsing of the operators' configuration from INI."""
 
 import configparser
 import re
@@ -27,8 +27,8 @@
 _DIGEST = re.compile(r"[0-9a-f]{64}")
 
 
-def parse_configuration(text, *, revision=0, file="configuration", is_whole=True):
-    r"""Return the configuration that a text describes.
+def parse_configuration(text, *, revision=0, file="configuration", is_complete=True):
+    r"""Return the configuration parsed from a text.
 
     Parameters
     ----------
@@ -37,10 +37,10 @@
     revision : int
         Revision of the result.
     file : str
-        Name of the file for problems.
-    is_whole : bool
-        Whether the text is a whole configuration, so that each name that it
-        uses has to be defined in it.
+        Name of the file, used in reported problems.
+    is_complete : bool
+        Whether the text is a complete configuration, so that every name that it
+        refers to must be defined in it.
 
     Returns
     -------
@@ -50,12 +50,12 @@
     Raises
     ------
     InvalidDocument
-        With every problem of the text.
+        If the text has problems; the error holds all of them.
 
     Notes
     -----
-    A value may go on in indented lines; every run of white space in it counts
-    as one space.
+    A value may continue on indented lines. Each run of white space in a value is
+    replaced by one space.
 
     Examples
     --------
@@ -64,11 +64,11 @@
     2.0
     """
     parser = _parse_ini(text, file)
-    reader = _Reader(file=file, text=text)
+    reader = _DocumentReader(file=file, text=text)
     configuration = Configuration(revision=revision)
     for section in parser.sections():
         reader.read_section(configuration, section, parser[section])
-    if is_whole:
+    if is_complete:
         check_references(configuration, reader.report)
     if reader.problems:
         raise InvalidDocument(ErrorKind.CONFIGURATION_INVALID, reader.problems)
@@ -77,30 +77,30 @@
 
 
 def check_references(configuration, report):
-    """Report names that nothing defines and keys that two organisations share.
+    """Report undefined names and API keys that two organisations share.
 
     Parameters
     ----------
     configuration : Configuration
-        A whole configuration.
+        A complete configuration.
     report : callable
-        Called with section, key and what is wrong.
+        Called with section, key and a text that describes the problem.
     """
     for route in configuration.route_by_name.values():
         if route.pool not in configuration.pool_by_name:
-            allowed = f"pool {route.pool!r} is not defined"
+            allowed = f"pool {route.pool!r} is not defined by any [pool NAME] section"
             report(f"route {route.name}", "pool", allowed)
     owner_by_digest = {}
     for organisation in configuration.organisation_by_name.values():
         for digest in organisation.key_digests:
             owner = owner_by_digest.setdefault(digest, organisation.name)
             if owner != organisation.name:
-                allowed = f"key {digest!r} belongs to organisation {owner!r}"
+                allowed = f"{digest!r} is already a key of organisation {owner!r}"
                 report(f"organisation {organisation.name}", "key_digests", allowed)
 
 
 def _parse_ini(text, file):
-    # No text can be the name "" of a section, so no section holds defaults.
+    # A section cannot have an empty name, so no section is taken for the defaults.
     parser = configparser.ConfigParser(
         interpolation=None, strict=True, default_section=""
     )
@@ -110,13 +110,20 @@
         parser.read_string(text, source=file)
     except UnicodeEncodeError as exc:
         line = text.count("\n", 0, exc.start) + 1
-        problem = Problem(file=file, line=line, allowed="the text is not Unicode")
+        problem = Problem(
+            file=file, line=line, allowed=f"text is not valid Unicode: {exc.reason}"
+        )
         raise InvalidDocument(ErrorKind.CONFIGURATION_INVALID, [problem]) from exc
     except configparser.ParsingError as exc:
-        # A missing header has a line of its own; other faults come as a list.
+        # A missing section header is given by `lineno` and `line`; other syntax errors
+        # are given by the list `errors`.
         errors = getattr(exc, "errors", None) or [(exc.lineno, exc.line)]
         problems = [
-            Problem(file=file, line=number, allowed=f"{line} is not key = value")
+            Problem(
+                file=file,
+                line=number,
+                allowed=f"expected [KIND NAME] or key = value, got {line}",
+            )
             for number, line in errors
         ]
         raise InvalidDocument(ErrorKind.CONFIGURATION_INVALID, problems) from exc
@@ -127,52 +134,58 @@
     return parser
 
 
-class _Reader:
-    """Reads sections one by one and gathers problems.
+class _DocumentReader:
+    """Reads sections into a configuration and collects problems.
 
     Parameters
     ----------
     file : str
-        Name of the file.
+        Name of the file, used in problems.
     text : str
-        The whole text, to find line numbers.
+        The complete text, used to find line numbers.
     """
 
-    __slots__ = ("_file", "_line_by_place", "_seen", "_text", "problems")
+    __slots__ = ("_file", "_line_by_section_key", "_seen", "_text", "problems")
 
     def __init__(self, *, file, text):
         self._file = file
         self._text = text
-        self._line_by_place = None
+        self._line_by_section_key = None
         self._seen = set()
         self.problems = []
 
     def read_section(self, configuration, section, values):
-        """Add the object that one section describes."""
+        """Add the object that one section describes to a configuration."""
         kind, _, name = section.partition(" ")
         name = name.strip()
         if kind not in section_readers.by_name:
             known = ", ".join(section_readers.names())
-            self.report(section, "", f"unknown kind {kind!r}; known: {known}")
+            self.report(section, "", f"unknown kind {kind!r}; allowed: {known}")
             return
         if not NAME_PATTERN.fullmatch(name):
-            self.report(section, "", f"name {name!r} is not allowed")
+            self.report(
+                section, "", f"name {name!r} does not match {NAME_PATTERN.pattern}"
+            )
             return
         if (kind, name) in self._seen:
-            self.report(section, "", f"{kind} {name!r} stands here twice")
+            self.report(section, "", f"{kind} {name!r} is defined more than once")
             return
         self._seen.add((kind, name))
-        folded = {_fold(k): _fold(v) for k, v in values.items()}
-        fields = SectionFields(reader=self, section=section, values=folded)
+        collapsed = {
+            _collapse_whitespace(k): _collapse_whitespace(v) for k, v in values.items()
+        }
+        fields = SectionFields(reader=self, section=section, values=collapsed)
         section_readers.get(kind)(configuration, name, fields)
-        fields.finish()
+        fields.report_unknown_keys()
 
     def report(self, section, key, allowed):
-        """Note a problem."""
-        if self._line_by_place is None:
-            self._line_by_place = _line_numbers(self._text)
-        header = self._line_by_place.get((_fold(section), ""), 0)
-        line = self._line_by_place.get((_fold(section), key), header)
+        """Record a problem with the line number of its key or section."""
+        if self._line_by_section_key is None:
+            self._line_by_section_key = _line_numbers(self._text)
+        header = self._line_by_section_key.get((_collapse_whitespace(section), ""), 0)
+        line = self._line_by_section_key.get(
+            (_collapse_whitespace(section), key), header
+        )
         self.problems.append(
             Problem(
                 file=self._file, line=line, section=section, key=key, allowed=allowed
@@ -213,12 +226,12 @@
 
 @section_readers.register("application")
 def _read_application(configuration, name, fields):
-    works = [w.value for w in Work]
-    work = fields.text("work", "model", choices=works)
+    work_values = [w.value for w in Work]
+    work = fields.text("work", "model", choices=work_values)
     configuration.application_by_name[name] = Application(
         name=name,
-        work=Work(work) if work in works else Work.MODEL,
-        idempotent_paths=fields.names("idempotent_paths"),
+        work=Work(work) if work in work_values else Work.MODEL,
+        idempotent_paths=fields.text_list("idempotent_paths"),
         deadline_s=fields.number("deadline_s", 60.0, low=0.001, high=86400),
     )
 
@@ -229,7 +242,11 @@
         name=name,
         share=fields.number("share", 1.0, low=0.001, high=10**6),
         rate_tokens_per_s=fields.number("rate_tokens_per_s", 0.0, low=0, high=10**9),
-        key_digests=fields.matching_names("key_digests", _DIGEST, "a SHA-256 digest"),
+        key_digests=fields.matching_texts(
+            "key_digests",
+            _DIGEST,
+            "a SHA-256 digest (64 lower-case hex digits)",
+        ),
         labels=fields.labels(),
     )
 
@@ -242,18 +259,20 @@
 section_readers.register("group")(read_group)
 
 
-def _fold(text):
+def _collapse_whitespace(text):
     return " ".join(text.split())
 
 
 def _line_numbers(text):
-    line_by_place = {}
+    line_by_section_key = {}
     section = ""
     for number, line in enumerate(text.split("\n"), start=1):
         stripped = line.strip()
         if m := _HEADER.match(stripped):
-            section = _fold(m[1])
-            line_by_place.setdefault((section, ""), number)
+            section = _collapse_whitespace(m[1])
+            line_by_section_key.setdefault((section, ""), number)
         elif m := re.match(r"([^=:]+?)\s*[=:]", stripped):
-            line_by_place.setdefault((section, _fold(m[1])), number)
-    return line_by_place
+            line_by_section_key.setdefault(
+                (section, _collapse_whitespace(m[1])), number
+            )
+    return line_by_section_key
--- a/packages/magnoliagrade/magnoliagrade/configuration/ini_writer.py
+++ b/packages/magnoliagrade/magnoliagrade/configuration/ini_writer.py
@@ -1,4 +1,4 @@
-"""Writing the configuration as INI, in one canonical form."""
+"""Formatting of the operators' configuration as canonical INI."""
 
 import dataclasses
 import enum
@@ -16,13 +16,13 @@
     Parameters
     ----------
     configuration : Configuration
-        What to write.
+        Configuration to format.
 
     Returns
     -------
     text : str
-        INI that `parse_configuration` reads as an equal configuration. Kinds and
-        names are in order, values that equal their default are left out.
+        INI that `parse_configuration` parses to an equal configuration. Sections are
+        sorted by kind and name; values equal to their default are omitted.
 
     Examples
     --------
@@ -46,30 +46,31 @@
     Parameters
     ----------
     configuration : Configuration
-        What to write.
+        Configuration to format.
     kind : str
         Kind of section.
 
     Returns
     -------
     text_by_name : dict of str to str
-        Each text ends with an empty line.
+        Text of each section, ending with an empty line.
     """
-    rows_by_name = section_writers.get(kind)(configuration)
+    values_by_name = section_writers.get(kind)(configuration)
     return {
-        name: _format_section(kind, name, rows) for name, rows in rows_by_name.items()
+        name: _format_section(kind, name, values)
+        for name, values in values_by_name.items()
     }
 
 
-def _format_section(kind, name, rows):
-    lines = [f"[{kind} {name}]", *(f"{k} = {v}" for k, v in rows.items()), "", ""]
+def _format_section(kind, name, values):
+    lines = [f"[{kind} {name}]", *(f"{k} = {v}" for k, v in values.items()), "", ""]
     return "\n".join(lines)
 
 
 def _write_objects(attribute):
     def write(configuration):
         by_name = getattr(configuration, attribute)
-        return {name: _rows(item) for name, item in by_name.items()}
+        return {name: _section_values(item) for name, item in by_name.items()}
 
     return write
 
@@ -87,17 +88,17 @@
     }
 
 
-def _rows(item):
-    rows = {}
+def _section_values(item):
+    values = {}
     for field in dataclasses.fields(item):
         value = getattr(item, field.name)
         if field.name == "name" or _is_default(field, value):
             continue
         if field.name == "options":
-            rows.update(sorted(value.items()))
+            values.update(sorted(value.items()))
             continue
-        rows[field.name.removeprefix("is_")] = _format_value(value)
-    return rows
+        values[field.name.removeprefix("is_")] = _format_value(value)
+    return values
 
 
 def _is_default(field, value):
--- a/packages/magnoliagrade/magnoliagrade/configuration/problems.py
+++ b/packages/magnoliagrade/magnoliagrade/configuration/problems.py
@@ -1,4 +1,4 @@
-"""Problems found in a settings or configuration file."""
+"""Problems found in files of settings or configuration."""
 
 from dataclasses import dataclass
 
@@ -9,20 +9,20 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Problem:
-    """One thing that is wrong with a file.
+    """One problem found in a file.
 
     Parameters
     ----------
     file : str
         Name of the file.
     line : int
-        Line from 1, or 0 where none applies.
+        Line number from 1, or 0 if the problem has no line.
     section : str
-        Section, or empty.
+        Name of the section, or empty.
     key : str
-        Key, or empty.
+        Name of the key, or empty.
     allowed : str
-        What would have been allowed.
+        What was found and what is allowed.
     """
 
     file: str = ""
@@ -41,14 +41,14 @@
 
 
 class InvalidDocument(MagnoliagradeError):
-    """A file has one or more problems; all are reported at once.
+    """Raised for a file with problems; holds all of them.
 
     Parameters
     ----------
     kind : ErrorKind
         `SETTINGS_INVALID` or `CONFIGURATION_INVALID`.
     problems : list of Problem
-        What is wrong.
+        All problems found.
     """
 
     def __init__(self, kind, problems):
--- a/packages/magnoliagrade/magnoliagrade/configuration/repository.py
+++ b/packages/magnoliagrade/magnoliagrade/configuration/repository.py
@@ -1,4 +1,4 @@
-"""Reading and changing the configuration in the platform's store."""
+"""Reading and changing of the configuration in the platform's store."""
 
 import asyncio
 import random
@@ -14,7 +14,7 @@
 )
 from magnoliagrade.configuration.document import Configuration
 from magnoliagrade.configuration.root import (
-    HISTORY_LENGTH,
+    MAX_HISTORY_CHANGES,
     Change,
     ChunkReference,
     ConfigurationRoot,
@@ -26,12 +26,13 @@
 
 __all__ = ["ConfigurationRepository"]
 
-SUMMARY_LENGTH = 120
-SWEEP_EVERY_REVISIONS = 50
+MAX_SUMMARY_CHARS = 120
+# Revisions between two sweeps for chunks that failed writers left behind.
+SWEEP_INTERVAL_REVISIONS = 50
 
 
 class ConfigurationRepository:
-    """The configuration in the platform's store.
+    """Repository of the configuration in the platform's store.
 
     Parameters
     ----------
@@ -41,18 +42,19 @@
         Source of time; the system's by default.
     rng : random.Random, optional
         Source of jitter.
-    patience_s : float
-        How long a change goes on asking a store that does not answer.
+    retry_timeout_s : float
+        Time in seconds over which a change retries its writes while the store is
+        unavailable or limits calls.
     is_in_background : bool
-        Whether changes are worked out in a thread, so that the event loop of a
-        process that serves requests goes on.
+        Whether changes are computed in a thread, so that they do not block the event
+        loop of a process that serves requests.
 
     Notes
     -----
-    A change is accepted when its compare-and-swap on the root key took effect.
-    A write whose answer was lost is repeated with the same bytes: the store
-    revision that it expects can be met only once, so it takes effect at most once,
-    and the history in the root tells whether it did.
+    A change is accepted when its compare-and-swap of the root key succeeds. A write
+    whose response was lost is repeated with the same bytes: the root key has the
+    expected store revision only once, so the write takes effect at most once, and the
+    history in the root shows whether it did.
     """
 
     __slots__ = ("_chunks", "_clock", "_is_in_background", "_storage")
@@ -63,7 +65,7 @@
         store,
         clock=None,
         rng=None,
-        patience_s=10.0,
+        retry_timeout_s=10.0,
         is_in_background=False,
     ):
         self._is_in_background = is_in_background
@@ -73,7 +75,7 @@
             store=store,
             clock=self._clock,
             rng=rng or random.Random(),
-            patience_s=patience_s,
+            retry_timeout_s=retry_timeout_s,
         )
 
     async def load(self, known=None):
@@ -87,29 +89,29 @@
         return await self._storage.load(known)
 
     async def wait_for_change(self, store_revision, *, wait_s, known=None):
-        """Return the stored configuration once it is newer, or None in time.
+        """Wait for a newer configuration; return it, or None on timeout.
 
         Parameters
         ----------
         store_revision : int
-            Store revision that is known.
+            Store revision of the root key that is already known.
         wait_s : float
-            Longest wait in seconds.
+            Maximum wait in seconds.
         known : StoredConfiguration, optional
             One whose chunks need not be read again.
         """
         value = await self._storage.watch_root(store_revision, wait_s=wait_s)
-        return None if value is None else await self._storage.complete(value, known)
+        return None if value is None else await self._storage.load_chunks(value, known)
 
     async def apply(self, text, *, author, expected_revision=None):
-        """Replace the whole configuration and return its revision.
+        """Replace the complete configuration and return its revision.
 
         Parameters
         ----------
         text : str
             INI text.
         author : str
-            Who changes it.
+            Name of the author.
         expected_revision : int, optional
             Revision that the change was made from; any by default.
 
@@ -118,7 +120,7 @@
         InvalidDocument
             If the text has problems.
         MagnoliagradeError
-            As `change`.
+            See `change`.
         """
         change = ReplaceAll(text=text)
         stored = await self.change(
@@ -136,24 +138,24 @@
         held_revision=0,
         is_superseding=False,
     ):
-        """Make a change and return the configuration that came of it.
+        """Make a change and return the resulting configuration.
 
         Parameters
         ----------
         change : ReplaceAll or SetLabels
             The change.
         author : str
-            Who makes it.
+            Name of the author.
         expected_revision : int, optional
             Revision that the change was made from; any by default.
         operation : str
-            Id to find the change again; drawn by default. A change that the
-            history holds under this id is not made again.
+            Id of the change; random by default. A change whose id is in the history is
+            not made again.
         held_revision : int
-            Highest revision that an instance was found to have in force.
+            Highest revision known to be in force on an instance.
         is_superseding : bool
-            Whether a store that is behind the instances is changed all the same,
-            with a revision above theirs.
+            Whether to make the change, with a revision above `held_revision`, even if
+            the store holds an older revision than the instances.
 
         Returns
         -------
@@ -163,20 +165,25 @@
         Raises
         ------
         MagnoliagradeError
-            `CONFLICT` if another change came first that this one may not follow,
-            `CONFIGURATION_STALE` if the store is behind the instances,
-            `STORE_UNAVAILABLE` if it was not accepted because the store does not
-            answer, `OUTCOME_UNKNOWN` if it may have been accepted.
+            `CONFLICT` if a concurrent change altered the same values or the expected
+            revision differs, `CONFIGURATION_STALE` if the store holds an older revision
+            than the instances, `STORE_UNAVAILABLE` if the change was not accepted
+            because the store does not respond, `OUTCOME_UNKNOWN` if it may have been
+            accepted.
         """
         operation = operation or secrets.token_hex(8)
         base = await self.load()
         if base is not None and base.root.change_of(operation) is not None:
             return base
         _check_base(base, expected_revision, held_revision, is_superseding)
-        floor = held_revision if is_superseding else 0
+        min_base_revision = held_revision if is_superseding else 0
         try:
-            return await self._try_until_settled(
-                change, base, author=author, operation=operation, floor=floor
+            return await self._retry_until_accepted(
+                change,
+                base,
+                author=author,
+                operation=operation,
+                min_base_revision=min_base_revision,
             )
         finally:
             self._chunks = ParsedChunks()
@@ -187,18 +194,19 @@
         Parameters
         ----------
         stored : StoredConfiguration
-            What an instance has in force.
+            Configuration in force on an instance.
 
         Returns
         -------
         restored : bool
-            False if the store holds this revision or a newer one.
+            Whether it was written; False if the store holds this revision or a newer
+            one.
 
         Raises
         ------
         MagnoliagradeError
-            `CONFLICT` if the store holds a change that the configuration in force
-            does not descend from.
+            `CONFLICT` if the stored revision is not an ancestor of the configuration
+            in force.
         """
         root, store_revision = await self._storage.read_root()
         if root is not None:
@@ -207,8 +215,8 @@
             if not stored.root.descends_from(root):
                 newest = root.newest
                 detail = (
-                    f"revision {root.revision} by {newest.author} in the store is no "
-                    f"ancestor of revision {stored.revision} in force"
+                    f"revision {root.revision} by {newest.author} in the store is "
+                    f"not an ancestor of revision {stored.revision} in force"
                 )
                 raise MagnoliagradeError(ErrorKind.CONFLICT, detail)
         base = StoredConfiguration(
@@ -218,64 +226,73 @@
         )
         return await self._storage.write(stored, base)
 
-    async def _try_until_settled(self, change, base, *, author, operation, floor):
+    async def _retry_until_accepted(
+        self, change, base, *, author, operation, min_base_revision
+    ):
         while True:
-            attempt = await self._run(
-                self._attempt, change, base, author, operation, floor
+            attempt = await self._call(
+                self._prepare_attempt,
+                change,
+                base,
+                author,
+                operation,
+                min_base_revision,
             )
             if await self._write(attempt):
-                await self._tidy(attempt)
+                await self._delete_unused_chunks(attempt)
                 return attempt.stored
             newest = await self.load(attempt.base)
-            if not await self._run(self._may_follow, change, attempt, newest):
+            if not await self._call(self._can_retry_on, change, attempt, newest):
                 raise _conflict(newest)
             base = newest
 
-    async def _run(self, function, *arguments):
+    async def _call(self, function, *arguments):
         if self._is_in_background:
             return await asyncio.to_thread(function, *arguments)
         return function(*arguments)
 
-    def _attempt(self, change, base, author, operation, floor):
+    def _prepare_attempt(self, change, base, author, operation, min_base_revision):
         before = self._chunks.join(base) if base else Configuration()
-        after = change.make(before)
-        revision = max(before.revision, floor) + 1
-        made = Change(
+        after = change.apply_to(before)
+        revision = max(before.revision, min_base_revision) + 1
+        new_change = Change(
             revision=revision,
             operation=operation,
             author=author,
             time=self._clock.now().isoformat(timespec="seconds"),
-            summary=change.summary(before, after)[:SUMMARY_LENGTH],
+            summary=change.summary(before, after)[:MAX_SUMMARY_CHARS],
         )
         return _Attempt(
-            base=base or _nothing(), before=before, stored=_next(base, made, after)
+            base=base or _empty_configuration(),
+            before=before,
+            stored=_build_stored(base, new_change, after),
         )
 
     async def _write(self, attempt):
         accepted = False
-        is_known = True
+        is_outcome_known = True
         try:
             accepted = await self._storage.write(attempt.stored, attempt.base)
         except MagnoliagradeError as exc:
-            is_known = exc.kind is not ErrorKind.OUTCOME_UNKNOWN
+            is_outcome_known = exc.kind is not ErrorKind.OUTCOME_UNKNOWN
             raise
         finally:
-            if is_known and not accepted:
-                added = attempt.stored.root.chunks_beyond(attempt.base.root)
+            if is_outcome_known and not accepted:
+                added = attempt.stored.root.chunks_missing_from(attempt.base.root)
                 await self._storage.delete_chunks(added)
         return accepted
 
-    def _may_follow(self, change, attempt, newest):
+    def _can_retry_on(self, change, attempt, newest):
         if newest is None:
             return False
-        return change.touched(attempt.before) == change.touched(
+        return change.affected_values(attempt.before) == change.affected_values(
             self._chunks.join(newest)
         )
 
-    async def _tidy(self, attempt):
-        replaced = attempt.base.root.chunks_beyond(attempt.stored.root)
+    async def _delete_unused_chunks(self, attempt):
+        replaced = attempt.base.root.chunks_missing_from(attempt.stored.root)
         await self._storage.delete_chunks(replaced)
-        if attempt.stored.revision % SWEEP_EVERY_REVISIONS == 0:
+        if attempt.stored.revision % SWEEP_INTERVAL_REVISIONS == 0:
             await self._storage.sweep()
 
 
@@ -290,8 +307,8 @@
     revision = base.revision if base else 0
     if held_revision > revision and not is_superseding:
         detail = (
-            f"the store holds revision {revision}, instances have "
-            f"{held_revision} in force; they write it back"
+            f"the store holds revision {revision}, older than revision "
+            f"{held_revision} in force on instances, which write it back"
         )
         raise MagnoliagradeError(ErrorKind.CONFIGURATION_STALE, detail, retry_after=5)
     newest = max(revision, held_revision)
@@ -299,7 +316,7 @@
         raise _conflict(base)
 
 
-def _next(base, made, after):
+def _build_stored(base, new_change, after):
     reference_by_name = {}
     content_by_digest = {}
     known = base.root.chunk_by_name if base else {}
@@ -309,23 +326,27 @@
         reference = known.get(name)
         if reference is None or reference.digest != digest:
             reference = ChunkReference(
-                digest=digest, revision=made.revision, operation=made.operation
+                digest=digest,
+                revision=new_change.revision,
+                operation=new_change.operation,
             )
         reference_by_name[name] = reference
-    history = [*(base.root.history if base else ()), made]
+    history = [*(base.root.history if base else ()), new_change]
     root = ConfigurationRoot(
-        history=history[-HISTORY_LENGTH:], chunk_by_name=reference_by_name
+        history=history[-MAX_HISTORY_CHANGES:], chunk_by_name=reference_by_name
     )
     return StoredConfiguration(root=root, content_by_digest=content_by_digest)
 
 
-def _nothing():
+def _empty_configuration():
     return StoredConfiguration(root=ConfigurationRoot(), content_by_digest={})
 
 
 def _conflict(newest):
     if newest is None:
         return StoreConflict("the store holds no configuration")
-    made = newest.root.newest
-    detail = f"revision {made.revision} was written by {made.author} at {made.time}"
+    change = newest.root.newest
+    detail = (
+        f"revision {change.revision} was written by {change.author} at {change.time}"
+    )
     return MagnoliagradeError(ErrorKind.CONFLICT, detail)
--- a/packages/magnoliagrade/magnoliagrade/configuration/root.py
+++ b/packages/magnoliagrade/magnoliagrade/configuration/root.py
@@ -1,4 +1,4 @@
-"""The root of the stored configuration: its revision, history and chunks."""
+"""Root of the stored configuration: its revision, history and chunks."""
 
 import json
 from dataclasses import dataclass, field
@@ -7,28 +7,29 @@
 from magnoliagrade.errors import ErrorKind, MagnoliagradeError
 
 __all__ = [
-    "HISTORY_LENGTH",
+    "MAX_HISTORY_CHANGES",
     "Change",
     "ChunkReference",
     "ConfigurationRoot",
     "StoredConfiguration",
 ]
 
-HISTORY_LENGTH = 100
+# Changes that the root keeps; older ones are dropped.
+MAX_HISTORY_CHANGES = 100
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class ChunkReference:
-    """Where a chunk is stored and what it holds.
+    """Key and digest of a stored chunk.
 
     Parameters
     ----------
     digest : str
-        Digest of its content.
+        Digest of the content of the chunk.
     revision : int
-        Revision that the change which wrote it aimed at.
+        Revision that the change which wrote the chunk was to make.
     operation : str
-        Id of that change.
+        Id of the change that wrote the chunk.
     """
 
     digest: str
@@ -43,15 +44,15 @@
     Parameters
     ----------
     revision : int
-        Revision that it made.
+        Revision of the configuration after the change.
     operation : str
-        Id that its author gave it.
+        Id of the change, given by its author.
     author : str
-        Who made it.
+        Name of the author.
     time : str
-        When, in ISO 8601 and UTC, by the author's clock.
+        Time of the change in UTC by the author's clock, in ISO 8601.
     summary : str
-        What it changed, for people.
+        Description of the change for operators.
     """
 
     revision: int
@@ -63,14 +64,14 @@
 
 @dataclass(slots=True, kw_only=True)
 class ConfigurationRoot:
-    """What the root key holds.
+    """Value of the root key.
 
     Parameters
     ----------
     history : list of Change
-        Newest last, at least one; the last one made this root.
+        Latest changes, newest last. At least one; the last one created this root.
     chunk_by_name : dict of str to ChunkReference
-        Chunks of the configuration.
+        References to the chunks of the configuration, by chunk name.
     """
 
     history: list = field(default_factory=list)
@@ -78,7 +79,7 @@
 
     @property
     def newest(self):
-        """The change that made this root."""
+        """The change that created this root."""
         return self.history[-1]
 
     @property
@@ -87,19 +88,19 @@
         return self.history[-1].revision
 
     def change_of(self, operation):
-        """Return the change that an operation made, or None."""
+        """Return the change with an operation id, or None if not in the history."""
         for change in reversed(self.history):
             if change.operation == operation:
                 return change
         return None
 
-    def chunks_beyond(self, other):
-        """Return names and references of the chunks that another root lacks."""
+    def chunks_missing_from(self, other):
+        """Return the names and references of this root's chunks not in another."""
         known = set(other.chunk_by_name.items())
         return [item for item in self.chunk_by_name.items() if item not in known]
 
     def descends_from(self, other):
-        """Return whether this root was made from another one.
+        """Return whether another root is an ancestor of this one.
 
         Parameters
         ----------
@@ -108,7 +109,7 @@
 
         Notes
         -----
-        The other root counts as an ancestor when it is older than the history.
+        A root that is older than the whole history counts as an ancestor.
         """
         if other.revision < self.history[0].revision:
             return True
@@ -116,7 +117,7 @@
         return change is not None and change.revision == other.revision
 
     def to_bytes(self):
-        """Return the value of the root key."""
+        """Return the root as the value of the root key, in JSON."""
         fields = {
             "history": [
                 [c.revision, c.operation, c.author, c.time, c.summary]
@@ -131,39 +132,39 @@
 
     @classmethod
     def from_bytes(cls, data):
-        """Return the root that a value holds.
+        """Return the root parsed from the value of the root key.
 
         Raises
         ------
         MagnoliagradeError
-            `CONFIGURATION_INVALID` if the value is no root.
+            `CONFIGURATION_INVALID` if the value is not a root.
         """
         try:
             fields = json.loads(data)
-            history = [_change(*row) for row in fields["history"]]
+            history = [_parse_change(*row) for row in fields["history"]]
             chunk_by_name = {
-                name: _reference(*row) for name, row in fields["chunks"].items()
+                name: _parse_reference(*row) for name, row in fields["chunks"].items()
             }
             if not history:
-                raise ValueError("there is no history")
+                raise ValueError("the history is empty")
         except (ValueError, KeyError, TypeError, AttributeError) as exc:
-            detail = f"{len(data)} bytes hold no configuration root: {exc!r}"
+            detail = f"{len(data)} bytes are not a valid configuration root: {exc!r}"
             raise MagnoliagradeError(ErrorKind.CONFIGURATION_INVALID, detail) from exc
         return cls(history=history, chunk_by_name=chunk_by_name)
 
 
 @dataclass(slots=True, kw_only=True)
 class StoredConfiguration:
-    """A root with the content of all its chunks.
+    """A root and the contents of all its chunks.
 
     Parameters
     ----------
     root : ConfigurationRoot
         The root.
     content_by_digest : dict of str to str
-        Contents of its chunks.
+        Contents of the chunks, by digest.
     store_revision : int
-        Revision of the store's root key; 0 if it came from a peer.
+        Store revision of the root key; 0 if the configuration came from a peer.
     """
 
     root: ConfigurationRoot
@@ -177,7 +178,7 @@
 
     @property
     def text(self):
-        """The whole configuration in canonical INI."""
+        """The complete configuration as canonical INI."""
         return join_chunks(
             {
                 name: self.content_by_digest[reference.digest]
@@ -186,9 +187,9 @@
         )
 
 
-def _change(revision, operation, author, time, summary):
+def _parse_change(revision, operation, author, time, summary):
     if not isinstance(revision, int) or revision < 1:
-        raise ValueError(f"revision {revision!r} is not a positive number")
+        raise ValueError(f"revision {revision!r} is not a positive integer")
     return Change(
         revision=revision,
         operation=str(operation),
@@ -198,7 +199,7 @@
     )
 
 
-def _reference(digest, revision, operation):
+def _parse_reference(digest, revision, operation):
     return ChunkReference(
         digest=str(digest), revision=int(revision), operation=str(operation)
     )
--- a/packages/magnoliagrade/magnoliagrade/configuration/settings.py
+++ b/packages/magnoliagrade/magnoliagrade/configuration/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one process, read from INI and checked whole."""
+"""Settings of one process, read from an INI file and validated."""
 
 import configparser
 import dataclasses
@@ -35,13 +35,13 @@
     section : str
         Section of the INI file; the key is the field's name.
     doc : str
-        What the setting does.
+        Effect of the setting, for the page of settings.
     default : object
-        Value when the file has none; without it the setting is required.
+        Value if the file has none; a setting without a default is required.
     unit : str
         Unit of the value.
     low, high : float, optional
-        Least and greatest value allowed.
+        Minimum and maximum value.
     choices : sequence of str
         Allowed values of a text.
     address : bool
@@ -66,45 +66,45 @@
 
 
 def read_settings(cls, path, *, environ=None):
-    """Return the settings of a file.
+    """Return the settings read from a file.
 
     Parameters
     ----------
     cls : type
-        Dataclass whose fields were made by `setting`; may define
-        `combinations`, which returns texts for impossible combinations.
+        Dataclass whose fields were created by `setting`. Its method `combinations`, if
+        any, returns a text for each invalid combination of values.
     path : str
         INI file.
     environ : mapping, optional
-        Environment; that of the process by default.
+        Environment variables; those of the process by default.
 
     Returns
     -------
     settings : cls
-        Checked settings.
+        Validated settings.
 
     Raises
     ------
     InvalidDocument
-        With every problem of the file.
+        If the file has problems; the error holds all of them.
     """
     environ = os.environ if environ is None else environ
-    parser = _load(path)
-    field_by_place = {(f.metadata["section"], f.name): f for f in _fields(cls)}
-    problems = _unknown_places(parser, field_by_place, path)
+    parser = _read_ini(path)
+    field_by_section_key = {(f.metadata["section"], f.name): f for f in _fields(cls)}
+    problems = _unknown_keys(parser, field_by_section_key, path)
     values = {}
-    for (section, key), field in field_by_place.items():
+    for (section, key), field in field_by_section_key.items():
         text = parser.get(section, key, fallback=None)
         text = environ.get(field.metadata["env"], text)
         if text is None:
             if field.default is _MISSING:
-                allowed = f"is required: {_allowed(field)}"
+                allowed = f"missing, but required: {_allowed_text(field)}"
                 problems.append(_problem(path, section, key, allowed))
             continue
         try:
             values[key] = _convert(field, text.strip())
         except ValueError:
-            allowed = f"{text!r} is not {_allowed(field)}"
+            allowed = f"{text!r} is not {_allowed_text(field)}"
             problems.append(_problem(path, section, key, allowed))
     if problems:
         raise InvalidDocument(ErrorKind.SETTINGS_INVALID, problems)
@@ -124,41 +124,43 @@
         unit = f" ({f.metadata['unit']})" if f.metadata["unit"] else ""
         override = f"; `{f.metadata['env']}` overrides" if f.metadata["env"] else ""
         rows.append(
-            f"| {f.metadata['section']} | {f.name} | {default} | {_allowed(f)} "
+            f"| {f.metadata['section']} | {f.name} | {default} | {_allowed_text(f)} "
             f"| {f.metadata['doc']}{unit}{override} |"
         )
     return rows
 
 
 def _by_section(fields):
-    # Sections stay in the order in which they first come.
+    # Sections are listed in the order of their first field.
     sections = list(dict.fromkeys(f.metadata["section"] for f in fields))
     return sorted(fields, key=lambda f: sections.index(f.metadata["section"]))
 
 
 def same_addresses(settings):
-    """Return texts for listeners that cannot share an address.
+    """Return a text for each pair of listeners with the same address.
 
     Parameters
     ----------
     settings : object
-        Instance of a dataclass whose fields were made by `setting`.
+        Instance of a dataclass whose fields were created by `setting`.
     """
     key_by_address = {}
     problems = []
     for field in _fields(type(settings)):
         address = getattr(settings, field.name)
-        if not field.name.endswith("_address") or not _is_fixed(address):
+        if not field.name.endswith("_address") or not _has_fixed_port(address):
             continue
         if field.name.startswith("advertised"):
             continue
-        other = key_by_address.setdefault(address, field.name)
-        if other != field.name:
-            problems.append(f"{other} and {field.name} are both {address}")
+        first_key = key_by_address.setdefault(address, field.name)
+        if first_key != field.name:
+            problems.append(
+                f"{first_key} and {field.name} are both {address}; they must differ"
+            )
     return problems
 
 
-def _is_fixed(address):
+def _has_fixed_port(address):
     return ":" in address and not address.endswith(":0")
 
 
@@ -166,7 +168,7 @@
     return [f for f in dataclasses.fields(cls) if "section" in f.metadata]
 
 
-def _load(path):
+def _read_ini(path):
     parser = configparser.ConfigParser(interpolation=None, strict=True)
     parser.optionxform = str
     try:
@@ -178,18 +180,18 @@
     return parser
 
 
-def _unknown_places(parser, field_by_place, path):
-    sections = {section for section, _ in field_by_place}
+def _unknown_keys(parser, field_by_section_key, path):
+    sections = {section for section, _ in field_by_section_key}
     problems = []
     for section in parser.sections():
         if section not in sections:
-            allowed = f"unknown section; known: {', '.join(sorted(sections))}"
+            allowed = f"unknown section; allowed: {', '.join(sorted(sections))}"
             problems.append(_problem(path, section, "", allowed))
             continue
-        known = sorted(k for s, k in field_by_place if s == section)
+        known = sorted(k for s, k in field_by_section_key if s == section)
         for key in parser.options(section):
             if key not in known:
-                allowed = f"unknown key; known: {', '.join(known)}"
+                allowed = f"unknown key; allowed: {', '.join(known)}"
                 problems.append(_problem(path, section, key, allowed))
     return problems
 
@@ -227,7 +229,7 @@
     return int(text.rpartition(":")[2])
 
 
-def _allowed(field):
+def _allowed_text(field):
     meta = field.metadata
     if meta["choices"]:
         return "one of " + ", ".join(meta["choices"])
@@ -239,8 +241,8 @@
     if field.type is bool:
         return "true or false"
     if field.type in (int, float):
-        kind = "a whole number" if field.type is int else "a number"
+        kind = "an integer" if field.type is int else "a number"
         low = "" if meta["low"] is None else f" from {meta['low']}"
         high = "" if meta["high"] is None else f" to {meta['high']}"
         return f"{kind}{low}{high}"
-    return "a text" if field.default == "" else "a text that is not empty"
+    return "any text" if field.default == "" else "a non-empty text"
--- a/packages/magnoliagrade/magnoliagrade/configuration/storage.py
+++ b/packages/magnoliagrade/magnoliagrade/configuration/storage.py
@@ -1,4 +1,4 @@
-"""Keys of the configuration in the platform's store, read and written safely."""
+"""Reading and writing of the configuration's keys in the platform's store."""
 
 import asyncio
 import contextlib
@@ -14,17 +14,19 @@
 
 ROOT_KEY = "configuration/root"
 CHUNK_PREFIX = "configuration/chunk/"
-PARALLEL_CALLS = 8
-LIST_FROM_CHUNKS = 8
-READ_ATTEMPTS = 5
-PAUSE_FIRST_S = 0.05
-PAUSE_MAX_S = 1.0
+MAX_PARALLEL_CALLS = 8
+# From this number of missing chunks on, all chunks are read by one list call.
+LIST_MIN_MISSING_CHUNKS = 8
+# A read is repeated when a concurrent change has deleted chunks of the root just read.
+MAX_READ_ATTEMPTS = 5
+RETRY_DELAY_FIRST_S = 0.05
+RETRY_DELAY_MAX_S = 1.0
 _PURPOSE = "configuration"
 _log = logging.getLogger(__name__)
 
 
 class ConfigurationStorage:
-    """Root and chunks in the store.
+    """Root and chunks of the configuration in the platform's store.
 
     Parameters
     ----------
@@ -34,34 +36,35 @@
         Source of time.
     rng : random.Random
         Source of jitter.
-    patience_s : float
-        How long to go on asking a store that does not answer.
+    retry_timeout_s : float
+        Time in seconds over which calls of a write are retried while the store is
+        unavailable or limits calls.
 
     Notes
     -----
-    The key of a chunk holds the revision that its writer aimed at and the
-    writer's operation id, so no two writers share a key. A chunk whose revision is
-    not above the root's and that the root does not name can be deleted: later
-    roots name only chunks of this root and of writers that aim higher.
+    The key of a chunk contains the revision that its writer was to make and the
+    writer's operation id, so no two writers share a key. A chunk that the root does
+    not reference can be deleted if its revision is not above that of the root: later
+    roots reference only chunks of this root and of writers of higher revisions.
     """
 
-    __slots__ = ("_clock", "_patience_s", "_rng", "_store")
+    __slots__ = ("_clock", "_retry_timeout_s", "_rng", "_store")
 
-    def __init__(self, *, store, clock, rng, patience_s):
+    def __init__(self, *, store, clock, rng, retry_timeout_s):
         self._store = store
         self._clock = clock
         self._rng = rng
-        self._patience_s = patience_s
+        self._retry_timeout_s = retry_timeout_s
 
     async def read_root(self):
-        """Return the stored root, or None, and the store revision of its key."""
+        """Return the stored root and the store revision of its key; None, 0 if none."""
         value = await self._store.get(ROOT_KEY, purpose=_PURPOSE)
         if value is None:
             return None, 0
         return ConfigurationRoot.from_bytes(value.value), value.revision
 
     async def watch_root(self, store_revision, *, wait_s):
-        """Return the value of the root key once it is newer, or None in time."""
+        """Wait for a newer value of the root key; return it, or None on timeout."""
         return await self._store.watch(
             ROOT_KEY,
             after_revision=store_revision,
@@ -78,10 +81,10 @@
             One whose chunks need not be read again.
         """
         value = await self._store.get(ROOT_KEY, purpose=_PURPOSE)
-        return None if value is None else await self.complete(value, known)
+        return None if value is None else await self.load_chunks(value, known)
 
-    async def complete(self, value, known=None):
-        """Return the configuration that a value of the root key belongs to.
+    async def load_chunks(self, value, known=None):
+        """Return the configuration of a root key's value, with its chunks.
 
         Parameters
         ----------
@@ -93,10 +96,10 @@
         Raises
         ------
         MagnoliagradeError
-            `CONFIGURATION_INVALID` if a chunk stays missing or does not fit its
-            digest.
+            `CONFIGURATION_INVALID` if a chunk is missing in every attempt or does not
+            match its digest.
         """
-        for _ in range(READ_ATTEMPTS):
+        for _ in range(MAX_READ_ATTEMPTS):
             root = ConfigurationRoot.from_bytes(value.value)
             content_by_digest = await self._read_chunks(root, known)
             if content_by_digest is not None:
@@ -105,58 +108,65 @@
                     content_by_digest=content_by_digest,
                     store_revision=value.revision,
                 )
-            # A newer root came meanwhile and its writer deleted what it replaced.
+            # A concurrent change wrote a newer root and deleted the replaced chunks.
             value = await self._store.get(ROOT_KEY, purpose=_PURPOSE) or value
-        detail = f"chunks of revision {root.revision} are missing"
+        detail = f"chunks of revision {root.revision} are missing in the store"
         raise MagnoliagradeError(ErrorKind.CONFIGURATION_INVALID, detail)
 
     async def write(self, stored, base):
-        """Write the new chunks, then the root, and return whether it took effect.
+        """Write the new chunks, then the root; return whether it was accepted.
 
         Parameters
         ----------
         stored : StoredConfiguration
-            What to write.
+            Configuration to write.
         base : StoredConfiguration
-            What it was made from; its store revision is expected.
+            Configuration that it was made from. The root key must still have its
+            store revision.
 
         Raises
         ------
         MagnoliagradeError
             `OUTCOME_UNKNOWN` if the root may have been written, and
-            `STORE_UNAVAILABLE` or `STORE_LIMITED` if it surely was not.
+            `STORE_UNAVAILABLE` or `STORE_LIMITED` if it was certainly not.
         """
-        added = stored.root.chunks_beyond(base.root)
-        until = self._clock.monotonic() + self._patience_s
-        await self._each(added, lambda item: self._put_chunk(stored, item, until))
-        return await self._swap_root(stored.root, base.store_revision, until)
+        added = stored.root.chunks_missing_from(base.root)
+        deadline = self._clock.monotonic() + self._retry_timeout_s
+        await self._run_for_each(
+            added, lambda item: self._put_chunk(stored, item, deadline)
+        )
+        return await self._compare_and_swap_root(
+            stored.root, base.store_revision, deadline
+        )
 
     async def delete_chunks(self, items):
-        """Delete chunks that the root names no more, as far as the store answers.
+        """Delete chunks that the root no longer references; ignore errors.
 
         Parameters
         ----------
         items : iterable of tuple
             Names and references of chunks.
         """
-        await self._each([_chunk_key(item[1]) for item in items], self._delete_key)
+        await self._run_for_each(
+            [_chunk_key(item[1]) for item in items], self._delete_key
+        )
 
     async def sweep(self):
-        """Delete chunks that writers which died left behind; return how many."""
+        """Delete chunks that failed writers left behind; return their number."""
         with contextlib.suppress(MagnoliagradeError):
             values = await self._store.list(CHUNK_PREFIX, purpose="configuration-sweep")
             root, _ = await self.read_root()
             if root is None:
                 return 0
             named = {_chunk_key(r) for r in root.chunk_by_name.values()}
-            unused = [
+            leftover_keys = [
                 v.key
                 for v in values
-                if v.key not in named and _aimed_revision(v.key) <= root.revision
+                if v.key not in named and _target_revision(v.key) <= root.revision
             ]
-            await self._each(unused, self._delete_key)
-            log_event(_log, "configuration.swept", chunks=len(unused))
-            return len(unused)
+            await self._run_for_each(leftover_keys, self._delete_key)
+            log_event(_log, "configuration.swept", chunks=len(leftover_keys))
+            return len(leftover_keys)
         return 0
 
     async def _read_chunks(self, root, known):
@@ -167,25 +177,25 @@
             for item in root.chunk_by_name.items()
             if item[1].digest not in content_by_digest
         ]
-        if len(missing) >= LIST_FROM_CHUNKS:
+        if len(missing) >= LIST_MIN_MISSING_CHUNKS:
             values = await self._store.list(CHUNK_PREFIX, purpose=_PURPOSE)
             data_by_key = {v.key: v.value for v in values}
             rows = [data_by_key.get(_chunk_key(item[1])) for item in missing]
         else:
-            values = await self._each(missing, self._get_chunk)
+            values = await self._run_for_each(missing, self._get_chunk)
             rows = [None if v is None else v.value for v in values]
         for item, data in zip(missing, rows, strict=True):
             if data is None:
                 return None
-            content_by_digest[item[1].digest] = _checked(item, data)
+            content_by_digest[item[1].digest] = _verified_content(item, data)
         return {d: c for d, c in content_by_digest.items() if d in wanted}
 
     async def _get_chunk(self, item):
         return await self._store.get(_chunk_key(item[1]), purpose=_PURPOSE)
 
-    async def _put_chunk(self, stored, item, until):
+    async def _put_chunk(self, stored, item, deadline):
         data = stored.content_by_digest[item[1].digest].encode()
-        pause = PAUSE_FIRST_S
+        delay_s = RETRY_DELAY_FIRST_S
         while True:
             try:
                 await self._store.put(
@@ -193,13 +203,13 @@
                 )
                 return
             except StoreConflict:
-                return  # an earlier write of the same bytes took effect
+                return  # an earlier attempt wrote the same bytes
             except MagnoliagradeError as exc:
-                pause = await self._pause(exc, pause, until)
+                delay_s = await self._wait_before_retry(exc, delay_s, deadline)
 
-    async def _swap_root(self, root, expected, until):
+    async def _compare_and_swap_root(self, root, expected, deadline):
         data = root.to_bytes()
-        pause = PAUSE_FIRST_S
+        delay_s = RETRY_DELAY_FIRST_S
         maybe_applied = False
         try:
             while True:
@@ -209,45 +219,48 @@
                     )
                     return True
                 except StoreConflict:
-                    # Whatever sent the bytes twice, the history tells the truth.
-                    return await self._read_back(root, until)
+                    # An earlier attempt may have been accepted; the history shows it.
+                    return await self._was_accepted(root, deadline)
                 except MagnoliagradeError as exc:
                     maybe_applied |= getattr(exc, "maybe_applied", False)
-                    pause = await self._pause(exc, pause, until)
+                    delay_s = await self._wait_before_retry(exc, delay_s, deadline)
         except MagnoliagradeError as exc:
             if not maybe_applied:
                 raise
-            raise _unknown(root, exc) from exc
+            raise _outcome_unknown(root, exc) from exc
 
-    async def _read_back(self, root, until):
-        pause = PAUSE_FIRST_S
+    async def _was_accepted(self, root, deadline):
+        delay_s = RETRY_DELAY_FIRST_S
         while True:
             try:
                 newest, _ = await self.read_root()
                 break
             except MagnoliagradeError as exc:
-                pause = await self._pause(exc, pause, until)
-        made = root.newest
-        if newest is not None and newest.change_of(made.operation) == made:
+                delay_s = await self._wait_before_retry(exc, delay_s, deadline)
+        change = root.newest
+        if newest is not None and newest.change_of(change.operation) == change:
             return True
-        if newest is None or newest.history[0].revision > made.revision:
-            detail = f"the history does not reach back to revision {made.revision}"
+        if newest is None or newest.history[0].revision > change.revision:
+            detail = (
+                f"whether revision {change.revision} was written is not known: "
+                "the stored history does not reach back to it"
+            )
             raise MagnoliagradeError(ErrorKind.STORE_UNAVAILABLE, detail)
         return False
 
-    async def _pause(self, error, pause, until):
+    async def _wait_before_retry(self, error, delay_s, deadline):
         kinds = (ErrorKind.STORE_UNAVAILABLE, ErrorKind.STORE_LIMITED)
-        if error.kind not in kinds or self._clock.monotonic() + pause > until:
+        if error.kind not in kinds or self._clock.monotonic() + delay_s > deadline:
             raise error
-        await self._clock.sleep(pause * self._rng.uniform(0.5, 1.5))
-        return min(PAUSE_MAX_S, pause * 2)
+        await self._clock.sleep(delay_s * self._rng.uniform(0.5, 1.5))
+        return min(RETRY_DELAY_MAX_S, delay_s * 2)
 
     async def _delete_key(self, key):
         with contextlib.suppress(MagnoliagradeError):
             await self._store.delete(key, purpose=_PURPOSE)
 
-    async def _each(self, items, function):
-        slots = asyncio.Semaphore(PARALLEL_CALLS)
+    async def _run_for_each(self, items, function):
+        slots = asyncio.Semaphore(MAX_PARALLEL_CALLS)
 
         async def run(item):
             async with slots:
@@ -257,27 +270,27 @@
 
 
 def _chunk_key(reference):
-    place = f"{reference.revision:012d}/{reference.operation}/{reference.digest}"
-    return CHUNK_PREFIX + place
+    suffix = f"{reference.revision:012d}/{reference.operation}/{reference.digest}"
+    return CHUNK_PREFIX + suffix
 
 
-def _aimed_revision(key):
+def _target_revision(key):
     return int(key[len(CHUNK_PREFIX) :].partition("/")[0])
 
 
-def _checked(item, data):
+def _verified_content(item, data):
     name, reference = item
     content = data.decode()
     if chunk_digest(content) != reference.digest:
-        detail = f"chunk {name} does not fit its digest {reference.digest}"
+        detail = f"content of chunk {name} does not match digest {reference.digest}"
         raise MagnoliagradeError(ErrorKind.CONFIGURATION_INVALID, detail)
     return content
 
 
-def _unknown(root, cause):
-    made = root.newest
+def _outcome_unknown(root, cause):
+    change = root.newest
     detail = (
-        f"whether operation {made.operation} (revision {made.revision}) was accepted "
-        f"is not known: {cause.detail}"
+        f"whether operation {change.operation} (revision {change.revision}) was "
+        f"accepted is not known: {cause.detail}"
     )
     return MagnoliagradeError(ErrorKind.OUTCOME_UNKNOWN, detail)
--- a/packages/magnoliagrade/magnoliagrade/configuration/tests/test_group_section.py
+++ b/packages/magnoliagrade/magnoliagrade/configuration/tests/test_group_section.py
@@ -9,7 +9,7 @@
     return []
 
 
-def test_group_with_mistakes_names_them_all():
+def test_every_problem_of_a_group_section_is_reported():
     text = """
 [group experts]
 ranks = 2
--- a/packages/magnoliagrade/magnoliagrade/configuration/tests/test_ini.py
+++ b/packages/magnoliagrade/magnoliagrade/configuration/tests/test_ini.py
@@ -18,7 +18,7 @@
 """
 
 
-def test_objects_of_every_kind():
+def test_sections_are_parsed_into_objects():
     c = parse_configuration(GOOD, revision=7)
     assert c.revision == 7
     assert c.pool_of({"application": "a"}).name == "p"
@@ -32,7 +32,7 @@
     assert c.application_by_name["a"].idempotent_paths == ["/x", "/y"]
 
 
-def test_problems_have_lines():
+def test_problems_give_line_and_key():
     text = "[pool p]\ncold_limit = many\nwhat = 1\n[route r]\npool = q\n[thing x]\n"
     try:
         parse_configuration(text)
--- a/packages/magnoliagrade/magnoliagrade/configuration/tests/test_ini_properties.py
+++ b/packages/magnoliagrade/magnoliagrade/configuration/tests/test_ini_properties.py
@@ -30,20 +30,20 @@
 FIXED = settings(derandomize=True, deadline=None, max_examples=400)
 
 
-def test_every_kind_can_be_written():
+def test_every_kind_of_section_has_a_reader_and_a_writer():
     assert section_readers.names() == section_writers.names()
 
 
 @FIXED
 @given(st.text(alphabet=st.characters(), max_size=60))
-def test_any_text_is_read_or_refused_with_lines(text):
+def test_any_text_is_parsed_or_rejected_with_line_numbers(text):
     _read(text)
     _read("[pool p]\n" + text)
 
 
 @FIXED
 @given(st.lists(SECTION, max_size=5))
-def test_accepted_sections_come_back_as_they_were(sections):
+def test_formatted_configuration_parses_to_an_equal_one(sections):
     text = "".join(
         f"[{kind} {name}]\n" + "".join(f"{k} = {v}\n" for k, v in rows)
         for kind, name, rows in sections
--- a/packages/magnoliagrade/magnoliagrade/configuration/tests/test_settings.py
+++ b/packages/magnoliagrade/magnoliagrade/configuration/tests/test_settings.py
@@ -21,7 +21,7 @@
         return read_settings(Example, path, environ=environ or {})
 
 
-def test_defaults_and_values():
+def test_values_of_the_file_override_defaults():
     settings = _read("[instance]\nname = x\n[listen]\ncount = 4\n")
     assert (settings.name, settings.port, settings.count) == ("x", "h:1", 4)
 
@@ -31,8 +31,8 @@
     try:
         _read(text)
     except InvalidDocument as exc:
-        places = {(p.section, p.key) for p in exc.problems}
-    assert places == {
+        locations = {(p.section, p.key) for p in exc.problems}
+    assert locations == {
         ("instance", "name"),
         ("listen", "port"),
         ("listen", "count"),
--- a/tests/test_binaries.py
+++ b/tests/test_binaries.py
@@ -107,4 +107,4 @@
         both = "admin_address and caller_address are both 127.0.0.1:8080"
         assert both in clash.stderr
         empty = _run("magnoliagrade", "check", path, MAGNOLIAGRADE_INSTANCE="")
-        assert "[instance] name: '' is not a text that is not empty" in empty.stderr
+        assert "[instance] name: '' is not a non-empty text" in empty.stderr
--- a/tests/test_configuration_store.py
+++ b/tests/test_configuration_store.py
@@ -29,10 +29,10 @@
     return asyncio.run(drive())
 
 
-def _repository(clock, store, seed=0, patience_s=10.0):
+def _repository(clock, store, seed=0, retry_timeout_s=10.0):
     rng = random.Random(seed)
     return ConfigurationRepository(
-        store=store, clock=clock, rng=rng, patience_s=patience_s
+        store=store, clock=clock, rng=rng, retry_timeout_s=retry_timeout_s
     )
 
 
@@ -73,11 +73,11 @@
     async def main(clock, store):
         await _repository(clock, store).apply(TEXT, author="a")
         lost = _LoseRootThenDown(store)
-        call = _repository(clock, lost, 3, patience_s=1.0).change(
+        call = _repository(clock, lost, 3, retry_timeout_s=1.0).change(
             _label("1"), author="a", operation="op-2"
         )
         assert await _kind_of(call) is ErrorKind.OUTCOME_UNKNOWN
-        call = _repository(clock, store, 4, patience_s=1.0).change(
+        call = _repository(clock, store, 4, retry_timeout_s=1.0).change(
             _label("1"), author="a", operation="op-3"
         )
         assert await _kind_of(call) is ErrorKind.STORE_UNAVAILABLE
