--- a/packages/magnoliagrade-agent/magnoliagrade_agent/group/balancing.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/group/balancing.py
@@ -54,14 +54,14 @@
         if len(message.counts) != shape[0] * shape[1]:
             return
         counts = np.array(message.counts).reshape(shape)
-        is_taken = self._counter.add(
+        is_accepted = self._counter.add(
             counts,
             rank=message.rank,
             sequence=message.sequence,
             interval_s=message.seconds,
             now=self._clock.monotonic(),
         )
-        if is_taken:
+        if is_accepted:
             loads = rank_times(holds, self._counter.rates(), np.ones(self.group.ranks))
             load = float(loads.sum(axis=0)[message.rank]) * message.seconds
             self._speeds.add(message.rank, seconds=message.work_seconds, load=load)
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/group/coordination.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/group/coordination.py
@@ -15,24 +15,24 @@
 from magnoliagrade_agent.group import metrics
 from magnoliagrade_agent.group.balancing import GroupBalance
 from magnoliagrade_agent.group.coordinator import SwitchCoordinator, SwitchPhase
-from magnoliagrade_agent.group.record import CoordinatorLease, GroupRecords
+from magnoliagrade_agent.group.map_record import CoordinatorLease, MapRecordStore
 
-__all__ = ["coordinate", "learn_record"]
+__all__ = ["coordinate", "read_record_until_running"]
 
 FIRST_VERSION = 1
 LEASE_TTL_S = 10.0
-RENEWAL_S = LEASE_TTL_S / 3
-LOOP_S = 1.0
-RECORD_RETRY_S = 0.5
-SWITCH_LIMIT_S = 60.0
-SWITCH_POLL_S = 0.05
-RESEND_S = 0.3
+RENEWAL_INTERVAL_S = LEASE_TTL_S / 3
+COORDINATION_INTERVAL_S = 1.0
+RECORD_READ_INTERVAL_S = 0.5
+SWITCH_TIMEOUT_S = 60.0
+SWITCH_POLL_INTERVAL_S = 0.05
+RESEND_INTERVAL_S = 0.3
 VERSIONS_PER_FENCE = 1 << 20
 
 _log = logging.getLogger(__name__)
 
 
-async def learn_record(service):
+async def read_record_until_running(service):
     """Read the group's record and newest fence until the group runs.
 
     Parameters
@@ -45,20 +45,20 @@
     Without the store a group of which no rank knows anything stays out of steps.
     """
     node = service.node
-    records = GroupRecords(store=node.store, group=service.group)
+    records = MapRecordStore(store=node.store, group=service.group)
     while True:
-        await node.clock.sleep(RECORD_RETRY_S)
-        group = _configured(service)
+        await node.clock.sleep(RECORD_READ_INTERVAL_S)
+        group = _group_configuration(service)
         if service.member.is_running or service.member.record or group is None:
             continue
         try:
-            first = pack_placement(_initial(group))
+            first = pack_placement(_initial_placement(group))
             record = await records.read_or_create(FIRST_VERSION, first)
             fence = await records.newest_fence()
         except MagnoliagradeError as exc:
             log_event(_log, "group.record_unknown", code=exc.kind.value)
             continue
-        await service.act(service.member.offer_record, record, fence)
+        await service.call_member(service.member.offer_record, record, fence)
 
 
 async def coordinate(service):
@@ -79,18 +79,18 @@
     )
     coordination = _Coordination(service, lease)
     while True:
-        await node.clock.sleep(LOOP_S * node.rng.uniform(0.5, 1.5))
-        group = _configured(service)
+        await node.clock.sleep(COORDINATION_INTERVAL_S * node.rng.uniform(0.5, 1.5))
+        group = _group_configuration(service)
         if group is None or not service.member.is_running:
             continue
-        silent_s = node.clock.monotonic() - service.coordinator_heard_at
+        silent_s = node.clock.monotonic() - service.coordinator_seen_at
         if not lease.is_held and silent_s < LEASE_TTL_S:
             # The store is asked only when no coordinator is heard of.
             continue
         is_held = await coordination.hold_lease()
         metrics.COORDINATOR.labels(service.group).set(is_held)
         if is_held:
-            await coordination.try_turn(group)
+            await coordination.try_round(group)
         else:
             service.balance = None
 
@@ -99,16 +99,16 @@
     def __init__(self, service, lease):
         self.service = service
         self.lease = lease
-        self.records = GroupRecords(store=service.node.store, group=service.group)
+        self.records = MapRecordStore(store=service.node.store, group=service.group)
         self.planned_at = service.node.clock.monotonic()
-        self.counted_at = self.planned_at
+        self.counts_requested_at = self.planned_at
         self.versions = 0
         self.renewed_at = float("-inf")
 
     async def hold_lease(self):
         """Renew the lease when it is due, or take it; return whether it is held."""
         now = self.service.node.clock.monotonic()
-        if self.lease.is_held and now - self.renewed_at < RENEWAL_S:
+        if self.lease.is_held and now - self.renewed_at < RENEWAL_INTERVAL_S:
             return True
         is_held = await self.lease.acquire_or_renew()
         if is_held:
@@ -124,14 +124,14 @@
         for rank in range(service.member.ranks):
             service.send(rank, request)
 
-    async def try_turn(self, group):
+    async def try_round(self, group):
         """Take a turn; a store that does not answer only ends this one."""
         try:
-            await self.turn(group)
+            await self.run_round(group)
         except MagnoliagradeError as exc:
             log_event(_log, "group.turn_failed", code=exc.kind.value)
 
-    async def turn(self, group):
+    async def run_round(self, group):
         """Record the map, gather counts and rebalance, each when it is due."""
         service = self.service
         if service.balance is None or service.balance.group is not group:
@@ -142,26 +142,26 @@
         await self._write_record()
         now = service.node.clock.monotonic()
         interval_s = group.rebalancing_options().interval_s
-        if now - self.counted_at >= interval_s / 5:
-            self.counted_at = now
-            await self._ask_for_counts()
+        if now - self.counts_requested_at >= interval_s / 5:
+            self.counts_requested_at = now
+            await self._request_counts()
         if now - self.planned_at >= interval_s:
             self.planned_at = now
             await self._rebalance(group)
 
-    async def _ask_for_counts(self):
+    async def _request_counts(self):
         service = self.service
         self._send_request(is_beat=False)
-        own = await service.read_counts()
-        if own is not None:
-            service.take_counts(own)
+        local_counts = await service.read_counts()
+        if local_counts is not None:
+            service.add_counts(local_counts)
 
     async def _rebalance(self, group):
         service = self.service
         holds = unpack_placement(service.map_in_force())
         metrics.SKEW.labels(group.name).set(service.balance.skew(holds))
         if group.pinned_version:
-            await self._return_to(group.pinned_version)
+            await self._switch_to_pinned(group.pinned_version)
             return
         if group.is_frozen:
             metrics.PLANS.labels(group.name, "frozen").inc()
@@ -187,7 +187,7 @@
             moved = plan.transfers * size
             metrics.MOVED_BYTES.labels(group.name).inc(moved)
 
-    async def _return_to(self, version):
+    async def _switch_to_pinned(self, version):
         """Switch to the map that operators have pinned, if it is another one."""
         packed_map = await self.records.read_version(version)
         if packed_map is None:
@@ -198,7 +198,7 @@
     async def _switch(self, packed_map):
         service, clock = self.service, self.service.node.clock
         self.versions += 1
-        orders = []
+        outbox = []
         coordinator = SwitchCoordinator(
             group=service.group,
             ranks=service.member.ranks,
@@ -207,44 +207,44 @@
             version=self.lease.fence * VERSIONS_PER_FENCE + self.versions,
             packed_map=packed_map,
             choose_step=service.choose_step,
-            send=lambda rank, message: orders.append((rank, message)),
+            send=lambda rank, message: outbox.append((rank, message)),
         )
         service.coordinator = coordinator
         coordinator.start()
         began = phase_began = resent = clock.monotonic()
         phase = coordinator.phase
         is_done = False
-        while clock.monotonic() - began < SWITCH_LIMIT_S:
-            await self._send_all(orders)
+        while clock.monotonic() - began < SWITCH_TIMEOUT_S:
+            await self._send_outbox(outbox)
             if coordinator.phase is not phase:
-                self._note_phase(phase, clock.monotonic() - phase_began)
+                self._record_phase(phase, clock.monotonic() - phase_began)
                 phase, phase_began = coordinator.phase, clock.monotonic()
-            verdict = service.verdict(coordinator)
-            if verdict is not None or phase is SwitchPhase.FENCED:
-                is_done = bool(verdict)
+            is_committed = service.switch_result(coordinator)
+            if is_committed is not None or phase is SwitchPhase.FENCED:
+                is_done = bool(is_committed)
                 break
-            await clock.sleep(SWITCH_POLL_S)
-            if clock.monotonic() - resent > RESEND_S:
+            await clock.sleep(SWITCH_POLL_INTERVAL_S)
+            if clock.monotonic() - resent > RESEND_INTERVAL_S:
                 resent = clock.monotonic()
                 await self.hold_lease()
                 coordinator.resend()
-        self._note_phase(phase, clock.monotonic() - phase_began)
+        self._record_phase(phase, clock.monotonic() - phase_began)
         service.coordinator = None
         return is_done
 
-    def _note_phase(self, phase, seconds):
+    def _record_phase(self, phase, seconds):
         metrics.SWITCH_S.labels(self.service.group, phase.value).observe(seconds)
 
-    async def _send_all(self, orders):
-        while orders:
-            rank, message = orders.pop(0)
-            await self.service.order(rank, message)
+    async def _send_outbox(self, outbox):
+        while outbox:
+            rank, message = outbox.pop(0)
+            await self.service.deliver(rank, message)
 
     async def _write_record(self):
         """Bring the store's record up to the map in force."""
         service = self.service
         version = service.version_in_force()
-        if not service.record_behind():
+        if not service.is_record_stale():
             return
         record = await self.records.read()
         if record is None:
@@ -254,11 +254,11 @@
             await self.records.write(
                 version, packed_map, expected_revision=record.revision
             )
-        await self.records.keep_version(version, packed_map)
+        await self.records.write_version(version, packed_map)
         service.recorded_version = version
 
 
-def _configured(service):
+def _group_configuration(service):
     """Return the group's configuration, or None if it does not fit the settings."""
     configuration = service.node.configuration.in_force
     group = configuration.group_by_name.get(service.group)
@@ -274,7 +274,7 @@
     return group
 
 
-def _initial(group):
+def _initial_placement(group):
     return initial_placement(
         layers=group.layers,
         ranks=group.ranks,
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/group/generations.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/group/generations.py
@@ -10,10 +10,10 @@
     GenerationSettled,
 )
 
-from magnoliagrade_agent.group.knowledge import (
-    Knowledge,
+from magnoliagrade_agent.group.view import (
+    GroupView,
+    agreed_view,
     generation_of,
-    settle,
 )
 
 __all__ = ["GenerationMember"]
@@ -60,13 +60,13 @@
         "is_rank_new",
         "is_running",
         "is_superseded",
-        "knowledge",
+        "view",
         "orders",
         "rank",
         "ranks",
         "record",
         "settled_ranks",
-        "was_running",
+        "has_run",
     )
 
     def __init__(self, *, group, rank, ranks, incarnation, orders, send):
@@ -76,15 +76,15 @@
         self.orders = orders
         self._send = send
         self.incarnation_by_rank = {rank: incarnation}
-        self.knowledge = Knowledge()
+        self.view = GroupView()
         self.record = None
         self.fence = 0
         self.generations_opened = 0
         self.is_rank_new = True
         self.is_superseded = False
-        self.was_running = False
+        self.has_run = False
         self._maps = {}
-        self._forget_generation()
+        self._reset_generation()
 
     @property
     def incarnation(self):
@@ -105,7 +105,7 @@
 
         Parameters
         ----------
-        record : GroupRecord
+        record : MapRecord
             Map to start from if no rank knows any.
         fence : int
             Newest fencing number in the store.
@@ -113,7 +113,7 @@
         self.record = record
         self.fence = max(self.fence, fence)
         if self.generation and not self.is_running:
-            await self._answer()
+            await self._broadcast_answer()
 
     async def on_message(self, message, reply):
         """Handle a message of the group.
@@ -141,24 +141,24 @@
         self._broadcast_generation()
         await self._maybe_run()
 
-    def _forget_generation(self):
+    def _reset_generation(self):
         self.generation = 0
         self.answer_by_rank = {}
         self.settled_ranks = set()
         self.is_running = False
 
     async def _open_generation(self):
-        self._forget_generation()
+        self._reset_generation()
         self.generations_opened += 1
         state = await self.orders.pause()
-        self.is_rank_new = not state.knowledge.origin
-        if not self.knowledge.origin:
-            self.knowledge = state.knowledge
-        completed = max(self.knowledge.completed, state.knowledge.completed)
-        self.knowledge = replace(self.knowledge, completed=completed)
+        self.is_rank_new = not state.view.origin
+        if not self.view.origin:
+            self.view = state.view
+        completed = max(self.view.completed, state.view.completed)
+        self.view = replace(self.view, completed=completed)
         if len(self.incarnation_by_rank) == self.ranks:
             self.generation = generation_of(self._incarnations())
-            await self._answer()
+            await self._broadcast_answer()
         self._broadcast(self._join())
 
     def _incarnations(self):
@@ -186,14 +186,14 @@
             if self.rank in self.answer_by_rank:
                 reply(self.answer_by_rank[self.rank])
         else:
-            self._tell_generation(reply)
+            self._send_generation_state(reply)
 
     async def _on_own_incarnation(self, incarnation):
         if incarnation <= self.incarnation:
             return
-        if self.was_running:
+        if self.has_run:
             # A process that replaced this one has the rank now.
-            self._forget_generation()
+            self._reset_generation()
             self.is_superseded = True
             await self.orders.pause()
             log_event(_log, "group.superseded", group=self.group, rank=self.rank)
@@ -201,10 +201,10 @@
         self.incarnation_by_rank[self.rank] = incarnation + 1
         await self._open_generation()
 
-    async def _answer(self):
-        if self.rank in self.answer_by_rank or not self._has_something_to_say():
+    async def _broadcast_answer(self):
+        if self.rank in self.answer_by_rank or not self._can_answer():
             return
-        known = self.knowledge
+        known = self.view
         version, packed_map = known.version, known.map_by_version.get(known.version)
         if not known.origin and self.record is not None:
             version, packed_map = self.record.version, self.record.map
@@ -223,24 +223,24 @@
             is_rank_new=self.is_rank_new,
         )
         if switch is not None:
-            answer.open_version, answer.open_step = switch.place
+            answer.open_version, answer.open_step = switch.key
             answer.outcome = switch.outcome.value
             answer.open_map = known.map_by_version.get(switch.version, b"")
         self.answer_by_rank[self.rank] = answer
         self._broadcast(answer)
         await self._maybe_settle()
 
-    def _has_something_to_say(self):
+    def _can_answer(self):
         # A rank that knows nothing waits for the store or for one that knows.
         others_know = any(a.current_version for a in self.answer_by_rank.values())
-        return bool(self.knowledge.origin or self.record or others_know)
+        return bool(self.view.origin or self.record or others_know)
 
     async def _on_answer(self, message, reply):
         if message.generation != self.generation:
             await self._on_other_incarnations(message.incarnations, reply)
             return
         self.answer_by_rank.setdefault(message.rank, message)
-        await self._answer()
+        await self._broadcast_answer()
         await self._maybe_settle()
 
     async def _on_other_incarnations(self, incarnations, reply):
@@ -262,10 +262,10 @@
         if len(self.answer_by_rank) < self.ranks or self.rank in self.settled_ranks:
             return
         answers = list(self.answer_by_rank.values())
-        self.knowledge = settle(answers, generation=self.generation)
+        self.view = agreed_view(answers, generation=self.generation)
         self.fence = max(self.fence, *(a.fence for a in answers))
-        await self.orders.settle(self.knowledge)
-        self._maps = dict(self.knowledge.map_by_version)
+        await self.orders.settle(self.view)
+        self._maps = dict(self.view.map_by_version)
         self.settled_ranks.add(self.rank)
         self._broadcast(self._settled())
         await self._maybe_run()
@@ -283,16 +283,16 @@
     async def _maybe_run(self):
         if self.is_running or not self._may_run():
             return
-        step = self.knowledge.completed + 1
+        step = self.view.completed + 1
         if await self.orders.run(self.generation, step):
             self.is_running = True
-            self.was_running = True
+            self.has_run = True
             log_event(
                 _log,
                 "group.running",
                 group=self.group,
                 generation=self.generation,
-                map_version=self.knowledge.version_at(step),
+                map_version=self.view.version_at(step),
                 step=step,
             )
 
@@ -302,9 +302,9 @@
 
     def _broadcast_generation(self):
         self._broadcast(self._join())
-        self._tell_generation(self._broadcast)
+        self._send_generation_state(self._broadcast)
 
-    def _tell_generation(self, send):
+    def _send_generation_state(self, send):
         if self.rank in self.answer_by_rank:
             send(self.answer_by_rank[self.rank])
         if self.rank in self.settled_ranks:
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/group/handlers.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/group/handlers.py
@@ -16,12 +16,12 @@
     SwitchOutcome,
 )
 
-from magnoliagrade_agent.group.coordination import coordinate, learn_record
+from magnoliagrade_agent.group.coordination import coordinate, read_record_until_running
 from magnoliagrade_agent.handlers import agent_handlers, agent_tasks
 
 __all__ = []
 
-TICK_S = 0.1
+TICK_INTERVAL_S = 0.1
 
 
 async def on_group_message(node, link, message):
@@ -52,7 +52,7 @@
     service = node.group_service
     if service is None or message.group != service.group:
         return
-    service.note_coordinator(message.fence)
+    service.record_coordinator(message.fence)
     if message.is_beat:
         return
     counts = await service.read_counts()
@@ -65,7 +65,7 @@
     """Take a rank's counts if this agent coordinates."""
     service = node.group_service
     if service is not None and service.balance is not None:
-        service.take_counts(message)
+        service.add_counts(message)
 
 
 @agent_handlers.on(GroupState)
@@ -73,7 +73,7 @@
     """Note whether a peer leaves and what it has in flight."""
     service = node.group_service
     if service is not None and message.group == service.group:
-        service.note_peer_state(message)
+        service.record_peer_state(message)
 
 
 @agent_tasks.register("group-links")
@@ -88,14 +88,14 @@
     """Repeat what peers may have missed."""
     while node.group_service is not None:
         await node.group_service.tick()
-        await node.clock.sleep(TICK_S)
+        await node.clock.sleep(TICK_INTERVAL_S)
 
 
 @agent_tasks.register("group-record")
 async def read_record(node):
     """Learn the group's record from the store while the group does not run."""
     if node.group_service is not None:
-        await learn_record(node.group_service)
+        await read_record_until_running(node.group_service)
 
 
 @agent_tasks.register("group-coordination")
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/group/record.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/group/map_record.py
@@ -5,15 +5,15 @@
 from magnoliagrade.errors import MagnoliagradeError
 from magnoliagrade.store import StoreConflict
 
-from magnoliagrade_agent.group.knowledge import GroupRecord
+from magnoliagrade_agent.group.view import MapRecord
 
-__all__ = ["CoordinatorLease", "GroupRecords"]
+__all__ = ["CoordinatorLease", "MapRecordStore"]
 
 PURPOSE = "group"
 _VERSION = struct.Struct(">Q")
 
 
-class GroupRecords:
+class MapRecordStore:
     """The record of a group's map.
 
     Parameters
@@ -38,7 +38,7 @@
             return None
         (version,) = _VERSION.unpack_from(value.value)
         packed_map = value.value[_VERSION.size :]
-        return GroupRecord(version=version, map=packed_map, revision=value.revision)
+        return MapRecord(version=version, map=packed_map, revision=value.revision)
 
     async def read_or_create(self, version, packed_map):
         """Return the record, which is made of this map if there is none."""
@@ -58,7 +58,7 @@
             self._key, value, expected_revision=expected_revision, purpose=PURPOSE
         )
 
-    async def keep_version(self, version, packed_map):
+    async def write_version(self, version, packed_map):
         """Keep a map under its version, so that operators can pin it."""
         await self._store.put(
             f"{self._key}/{version}",
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/group/member.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/group/member.py
@@ -15,7 +15,7 @@
 )
 
 from magnoliagrade_agent.group.generations import GenerationMember
-from magnoliagrade_agent.group.knowledge import Outcome
+from magnoliagrade_agent.group.view import Outcome
 
 __all__ = ["GroupMember"]
 
@@ -38,9 +38,9 @@
 
     __slots__ = (
         "_arm_acks_by_switch",
-        "_arm_answer_by_switch",
-        "_doubtful_place",
-        "_known_by_switch",
+        "_arm_reply_by_switch",
+        "_pending_arm_key",
+        "_informed_ranks_by_switch",
         "is_switch_closed",
         "outcome_by_switch",
     )
@@ -55,7 +55,7 @@
         """
         await super().tick()
         if self.is_running:
-            await self._refuse_doubtful()
+            await self._reject_pending_arm()
         if self.is_open():
             await self._maybe_decide()
             await self._maybe_release()
@@ -67,14 +67,14 @@
         """Return whether a switch is armed here and not yet closed."""
         return self.is_running and not self.is_switch_closed
 
-    def _forget_generation(self):
-        super()._forget_generation()
+    def _reset_generation(self):
+        super()._reset_generation()
         self.is_switch_closed = True
-        self._doubtful_place = None
+        self._pending_arm_key = None
         self.outcome_by_switch = {}
-        self._arm_answer_by_switch = {}
+        self._arm_reply_by_switch = {}
         self._arm_acks_by_switch = {}
-        self._known_by_switch = {}
+        self._informed_ranks_by_switch = {}
 
     async def _on_stage(self, message, reply):
         accepted = self._accept_fence(message) and self.is_running
@@ -103,33 +103,33 @@
     async def _on_arm(self, message, reply):
         if message.generation != self.generation or not self.is_running:
             return
-        place = (message.version, message.step)
-        if self._doubtful_place != place:
-            await self._refuse_doubtful()
-        if place in self._arm_answer_by_switch:
-            self._tell_switch(place, self._broadcast)
+        switch_key = (message.version, message.step)
+        if self._pending_arm_key != switch_key:
+            await self._reject_pending_arm()
+        if switch_key in self._arm_reply_by_switch:
+            self._send_switch_state(switch_key, self._broadcast)
             return
-        self._doubtful_place = place
-        await self._give_arm_answer(place, await self._try_arm(message))
-        self._doubtful_place = None
+        self._pending_arm_key = switch_key
+        await self._reply_to_arm(switch_key, await self._try_arm(message))
+        self._pending_arm_key = None
 
-    async def _refuse_doubtful(self):
+    async def _reject_pending_arm(self):
         """Refuse a switch that the rank may hold without having said so."""
-        place = self._doubtful_place
-        if place is not None and place not in self._arm_answer_by_switch:
-            await self._give_arm_answer(place, False)
-        self._doubtful_place = None
+        switch_key = self._pending_arm_key
+        if switch_key is not None and switch_key not in self._arm_reply_by_switch:
+            await self._reply_to_arm(switch_key, False)
+        self._pending_arm_key = None
 
     async def _try_arm(self, message):
         packed_map = self._maps.get(message.version, b"")
-        last = self.knowledge.switch
+        last = self.view.switch
         if not self._accept_fence(message) or not packed_map:
             return False
-        if not self.is_switch_closed or message.step <= self._last_taken_step():
+        if not self.is_switch_closed or message.step <= self._last_possible_step():
             return False
         if not await self.orders.stage(message.version, packed_map):
             return False
-        armed = self.knowledge.armed(
+        armed = self.view.with_armed(
             version=message.version, step=message.step, packed_map=packed_map
         )
         # Steps before the last switch may still need the map that arming drops.
@@ -138,110 +138,110 @@
             return False
         # The rank has begun that step, so it has completed the one before.
         completed = max(armed.completed, after_step - 1)
-        self.knowledge = replace(armed, completed=completed)
+        self.view = replace(armed, completed=completed)
         self.is_switch_closed = False
         return True
 
-    def _last_taken_step(self):
+    def _last_possible_step(self):
         """Return the newest step that some rank may have begun on today's map.
 
         A rank that died may have completed the step that its survivors gave up,
         and have begun the one after.
         """
-        last = self.knowledge.switch
-        return max(self.knowledge.completed + 2, last.step if last else 0)
+        last = self.view.switch
+        return max(self.view.completed + 2, last.step if last else 0)
 
-    async def _give_arm_answer(self, place, accepted):
+    async def _reply_to_arm(self, switch_key, accepted):
         if not accepted and not self.is_open():
-            await self.orders.release(place[1])
-        self._arm_answer_by_switch[place] = accepted
-        self._acks(place)[self.rank] = accepted
+            await self.orders.release(switch_key[1])
+        self._arm_reply_by_switch[switch_key] = accepted
+        self._acks(switch_key)[self.rank] = accepted
         if not accepted:
             # Who refuses knows the outcome.
-            self.outcome_by_switch[place] = Outcome.ABORTED
-            self._known(place).add(self.rank)
-        self._tell_switch(place, self._broadcast)
+            self.outcome_by_switch[switch_key] = Outcome.ABORTED
+            self._informed_ranks(switch_key).add(self.rank)
+        self._send_switch_state(switch_key, self._broadcast)
         await self._maybe_decide()
 
-    def _acks(self, place):
-        return self._arm_acks_by_switch.setdefault(place, {})
+    def _acks(self, switch_key):
+        return self._arm_acks_by_switch.setdefault(switch_key, {})
 
-    def _known(self, place):
-        return self._known_by_switch.setdefault(place, set())
+    def _informed_ranks(self, switch_key):
+        return self._informed_ranks_by_switch.setdefault(switch_key, set())
 
     async def _on_arm_ack(self, message, reply):
         if message.generation != self.generation:
             return
-        place = (message.version, message.step)
-        self._acks(place).setdefault(message.rank, message.accepted)
+        switch_key = (message.version, message.step)
+        self._acks(switch_key).setdefault(message.rank, message.accepted)
         await self._maybe_decide()
 
     async def _maybe_decide(self):
-        if not self.is_open() or self.knowledge.switch.outcome is not Outcome.OPEN:
+        if not self.is_open() or self.view.switch.outcome is not Outcome.OPEN:
             return
-        acks = self._acks(self.knowledge.switch.place)
+        acks = self._acks(self.view.switch.key)
         if not all(acks.values()):
             await self._decide(Outcome.ABORTED)
         elif len(acks) == self.ranks:
             await self._decide(Outcome.COMMITTED)
 
     async def _decide(self, outcome):
-        place = self.knowledge.switch.place
-        decided = self.knowledge.decided(outcome)
+        switch_key = self.view.switch.key
+        decided = self.view.with_outcome(outcome)
         # The rank keeps the outcome before anyone may rely on this agent's word.
         await self.orders.note_outcome(decided)
-        self.knowledge = decided
-        self.outcome_by_switch[place] = outcome
-        self._known(place).add(self.rank)
-        self._tell_switch(place, self._broadcast)
+        self.view = decided
+        self.outcome_by_switch[switch_key] = outcome
+        self._informed_ranks(switch_key).add(self.rank)
+        self._send_switch_state(switch_key, self._broadcast)
         await self._maybe_release()
 
     async def _on_outcome(self, message, reply):
-        place = (message.version, message.step)
+        switch_key = (message.version, message.step)
         if message.generation != self.generation or not self.is_open():
             return
-        switch = self.knowledge.switch
-        if switch.place == place and switch.outcome is Outcome.OPEN:
+        switch = self.view.switch
+        if switch.key == switch_key and switch.outcome is Outcome.OPEN:
             is_committed = message.committed
             await self._decide(Outcome.COMMITTED if is_committed else Outcome.ABORTED)
 
     async def _on_known(self, message, reply):
         if message.generation == self.generation:
-            self._known((message.version, message.step)).add(message.rank)
+            self._informed_ranks((message.version, message.step)).add(message.rank)
             await self._maybe_release()
 
     async def _maybe_release(self):
-        if not self.is_open() or self.knowledge.switch.outcome is Outcome.OPEN:
+        if not self.is_open() or self.view.switch.outcome is Outcome.OPEN:
             return
-        if self._is_known_by_all(self.knowledge.switch.place):
-            await self.orders.release(self.knowledge.switch.step)
+        if self._is_known_by_all(self.view.switch.key):
+            await self.orders.release(self.view.switch.step)
             self.is_switch_closed = True
             log_event(
                 _log,
                 "group.switched",
                 group=self.group,
-                map_version=self.knowledge.switch.version,
-                step=self.knowledge.switch.step,
-                outcome=self.knowledge.switch.outcome.value,
+                map_version=self.view.switch.version,
+                step=self.view.switch.step,
+                outcome=self.view.switch.outcome.value,
             )
 
-    def _is_known_by_all(self, place):
-        return len(self._known(place)) == self.ranks
+    def _is_known_by_all(self, switch_key):
+        return len(self._informed_ranks(switch_key)) == self.ranks
 
     async def _on_query(self, message, reply):
         if message.generation != self.generation:
             reply(self._join())
             return
-        place = (message.version, message.step)
-        if place not in self._arm_answer_by_switch:
-            await self._give_arm_answer(place, False)
-        self._tell_switch(place, reply)
+        switch_key = (message.version, message.step)
+        if switch_key not in self._arm_reply_by_switch:
+            await self._reply_to_arm(switch_key, False)
+        self._send_switch_state(switch_key, reply)
 
     def _query(self):
-        return self._about(OutcomeQuery, self.knowledge.switch.place)
+        return self._switch_message(OutcomeQuery, self.view.switch.key)
 
-    def _about(self, message_class, place, **fields):
-        version, step = place
+    def _switch_message(self, message_class, switch_key, **fields):
+        version, step = switch_key
         return message_class(
             group=self.group,
             generation=self.generation,
@@ -252,16 +252,16 @@
         )
 
     def _broadcast_switch(self):
-        self._tell_switch(self.knowledge.switch.place, self._broadcast)
+        self._send_switch_state(self.view.switch.key, self._broadcast)
 
-    def _tell_switch(self, place, send):
-        accepted = self._arm_answer_by_switch[place]
-        send(self._about(ArmAck, place, accepted=accepted))
-        outcome = self.outcome_by_switch.get(place)
+    def _send_switch_state(self, switch_key, send):
+        accepted = self._arm_reply_by_switch[switch_key]
+        send(self._switch_message(ArmAck, switch_key, accepted=accepted))
+        outcome = self.outcome_by_switch.get(switch_key)
         if outcome is not None:
             committed = outcome is Outcome.COMMITTED
-            send(self._about(SwitchOutcome, place, committed=committed))
-            send(self._about(OutcomeKnown, place))
+            send(self._switch_message(SwitchOutcome, switch_key, committed=committed))
+            send(self._switch_message(OutcomeKnown, switch_key))
 
 
 GroupMember.handler_by_message = {
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/group/metrics.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/group/metrics.py
@@ -61,5 +61,5 @@
     group, member = service.group, service.member
     COMPLETE.labels(group).set(service.is_complete)
     GENERATIONS.labels(group).set(member.generations_opened)
-    MAP_VERSION.labels(group).set(member.knowledge.version_at(service.step))
+    MAP_VERSION.labels(group).set(member.view.version_at(service.step))
     SWITCH_OPEN.labels(group).set(member.is_open())
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/group/orders.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/group/orders.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from magnoliagrade_agent.group.knowledge import Knowledge
+from magnoliagrade_agent.group.view import GroupView
 
 __all__ = ["RankOrders", "RankState"]
 
@@ -18,13 +18,13 @@
         Changes whenever the rank's process starts anew.
     begun : int
         Newest step that it began.
-    knowledge : Knowledge
+    view : GroupView
         What its agents have told it, with the newest step that it completed.
     """
 
     boot_id: str = ""
     begun: int = 0
-    knowledge: Knowledge = field(default_factory=Knowledge)
+    view: GroupView = field(default_factory=GroupView)
 
 
 class RankOrders(Protocol):
@@ -40,19 +40,19 @@
     async def stage(self, version, packed_map):
         """Load the experts of a map; return whether they are all there."""
 
-    async def hold(self, knowledge, *, after_step):
+    async def hold(self, view, *, after_step):
         """Do not begin the step of an open switch; return whether it is held.
 
         It is refused if the step has begun, or `after_step` has not.
         """
 
-    async def note_outcome(self, knowledge):
+    async def note_outcome(self, view):
         """Keep the outcome of the newest switch."""
 
     async def release(self, step):
         """Lift the hold of a step."""
 
-    async def settle(self, knowledge):
+    async def settle(self, view):
         """Keep what a new generation starts from, while paused."""
 
     async def run(self, generation, step):
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/group/rank_client.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/group/rank_client.py
@@ -8,12 +8,12 @@
 import numpy as np
 from magnoliagrade.errors import ErrorKind, MagnoliagradeError
 
-from magnoliagrade_agent.group.knowledge import Knowledge, Outcome, Switch
 from magnoliagrade_agent.group.orders import RankState
+from magnoliagrade_agent.group.view import GroupView, Outcome, Switch
 
-__all__ = ["RankClient", "RankCounts", "decode_knowledge", "encode_knowledge"]
+__all__ = ["RankClient", "RankCounts", "decode_view", "encode_view"]
 
-CALL_TIMEOUT_S = 2.0
+ORDER_TIMEOUT_S = 2.0
 FENCE_HEADER = "X-Fence"
 
 
@@ -76,26 +76,26 @@
 
     async def stage(self, version, packed_map):
         """Load the experts of a map; return whether they are all there."""
-        answer = await self._order("stage", version=version, map=_text(packed_map))
+        answer = await self._order("stage", version=version, map=_base64(packed_map))
         return answer["accepted"]
 
-    async def hold(self, knowledge, *, after_step):
+    async def hold(self, view, *, after_step):
         """Close the gate at the step of an open switch."""
-        fields = encode_knowledge(knowledge)
+        fields = encode_view(view)
         answer = await self._order("hold", knowledge=fields, after_step=after_step)
         return answer["accepted"]
 
-    async def note_outcome(self, knowledge):
+    async def note_outcome(self, view):
         """Keep the outcome of the newest switch."""
-        await self._order("outcome", knowledge=encode_knowledge(knowledge))
+        await self._order("outcome", knowledge=encode_view(view))
 
     async def release(self, step):
         """Lift the hold of a step."""
         await self._order("release", step=step)
 
-    async def settle(self, knowledge):
+    async def settle(self, view):
         """Keep what a new generation starts from."""
-        await self._order("settle", knowledge=encode_knowledge(knowledge))
+        await self._order("settle", knowledge=encode_view(view))
 
     async def run(self, generation, step):
         """Run from a step on; return whether it runs."""
@@ -121,7 +121,7 @@
         headers = {FENCE_HEADER: str(self._fence())}
         try:
             async with (
-                asyncio.timeout(CALL_TIMEOUT_S),
+                asyncio.timeout(ORDER_TIMEOUT_S),
                 self._session.request(
                     method, self._url + path, json=fields, headers=headers
                 ) as response,
@@ -136,15 +136,15 @@
             raise MagnoliagradeError(ErrorKind.UPSTREAM_FAILED, detail) from exc
 
 
-def encode_knowledge(knowledge):
+def encode_view(view):
     """Return knowledge as a mapping ready for JSON."""
-    switch = knowledge.switch
+    switch = view.switch
     return {
         # JSON numbers of other programs hold no 64 bits.
-        "origin": str(knowledge.origin),
-        "version": knowledge.version,
-        "completed": knowledge.completed,
-        "maps": {str(v): _text(m) for v, m in knowledge.map_by_version.items()},
+        "origin": str(view.origin),
+        "version": view.version,
+        "completed": view.completed,
+        "maps": {str(v): _base64(m) for v, m in view.map_by_version.items()},
         "switch": switch
         and {
             "version": switch.version,
@@ -154,10 +154,10 @@
     }
 
 
-def decode_knowledge(fields):
+def decode_view(fields):
     """Return the knowledge that a mapping holds."""
     switch = fields["switch"]
-    return Knowledge(
+    return GroupView(
         origin=int(fields["origin"]),
         version=fields["version"],
         completed=fields["completed"],
@@ -175,9 +175,9 @@
     return RankState(
         boot_id=fields["boot_id"],
         begun=fields["begun"],
-        knowledge=decode_knowledge(fields["knowledge"]),
+        view=decode_view(fields["knowledge"]),
     )
 
 
-def _text(data):
+def _base64(data):
     return base64.b64encode(data).decode()
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/group/service.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/group/service.py
@@ -18,17 +18,17 @@
 from magnoliagrade.world import Role
 
 from magnoliagrade_agent.group import metrics
-from magnoliagrade_agent.group.knowledge import Outcome
 from magnoliagrade_agent.group.member import GroupMember
 from magnoliagrade_agent.group.rank_client import RankClient
+from magnoliagrade_agent.group.view import Outcome
 
 __all__ = ["GroupService", "new_group_incarnation"]
 
-PEER_GRACE_S = 4.0
-QUERY_AFTER_S = 0.3
-LEAD_S = 0.5
-LEAST_LEAD_STEPS = 4
-LEAST_STEP_S = 0.001
+PEER_TIMEOUT_S = 4.0
+OUTCOME_QUERY_DELAY_S = 0.3
+SWITCH_LEAD_S = 0.5
+MIN_LEAD_STEPS = 4
+MIN_STEP_S = 0.001
 
 _log = logging.getLogger(__name__)
 
@@ -53,18 +53,18 @@
         "_requests",
         "_sequence",
         "_step_at",
-        "_told_state",
+        "_notified_state",
         "addresses",
         "balance",
         "coordinator",
-        "coordinator_heard_at",
+        "coordinator_seen_at",
         "group",
         "member",
         "node",
         "orders",
         "rank_boot_id",
         "recorded_version",
-        "state_by_rank",
+        "peer_state_by_rank",
         "step",
         "step_s",
     )
@@ -75,16 +75,16 @@
         self.group = settings.group
         self.addresses = [a.strip() for a in settings.group_addresses.split(",")]
         self.coordinator = None
-        self.coordinator_heard_at = float("-inf")
+        self.coordinator_seen_at = float("-inf")
         self.balance = None
         self.recorded_version = 0
         self.step_s = 0.0
         self._sequence = 0
         self._step_at = node.clock.monotonic()
         self.rank_boot_id = ""
-        self._told_state = None
+        self._notified_state = None
         self.step = 0
-        self.state_by_rank = {}
+        self.peer_state_by_rank = {}
         self._lock = asyncio.Lock()
         self._requests = set()
         self._open_since = None
@@ -107,14 +107,14 @@
         """Whether the group runs and every peer has been heard of lately."""
         if not self.member.is_running or self.node.is_leaving:
             return False
-        if any(state.is_leaving for state in self.state_by_rank.values()):
+        if any(state.is_leaving for state in self.peer_state_by_rank.values()):
             return False
         link_by_rank = self._link_by_rank()
         link_by_rank.pop(self.member.rank, None)
         if len(link_by_rank) < self.member.ranks - 1:
             return False
         silence_s = self.node.links.silence_s
-        return all(silence_s(k) < PEER_GRACE_S for k in link_by_rank.values())
+        return all(silence_s(k) < PEER_TIMEOUT_S for k in link_by_rank.values())
 
     def link_of(self, rank):
         """Return the link to a rank's agent, or None."""
@@ -140,20 +140,20 @@
             if self.coordinator is not None:
                 self.coordinator.on_stage_ack(message)
             return
-        await self.act(self.member.on_message, message, link.send)
+        await self.call_member(self.member.on_message, message, link.send)
 
-    async def order(self, rank, message):
+    async def deliver(self, rank, message):
         """Hand a coordinator's order to a rank, which may be this one."""
         if rank != self.member.rank:
             self.send(rank, message)
             return
         replies = []
-        await self.act(self.member.on_message, message, replies.append)
+        await self.call_member(self.member.on_message, message, replies.append)
         for reply in replies:
             if self.coordinator is not None and isinstance(reply, StageAck):
                 self.coordinator.on_stage_ack(reply)
 
-    async def act(self, method, *arguments, **options):
+    async def call_member(self, method, *arguments, **options):
         """Let the member act; an order that the rank did not take is tried again."""
         async with self._lock:
             was_running = self.member.is_running
@@ -162,40 +162,40 @@
             except MagnoliagradeError as exc:
                 log_event(_log, "group.rank_failed", code=exc.kind.value)
             if was_running and not self.member.is_running:
-                self._break_requests()
+                self._cancel_requests()
         if was_running != self.member.is_running:
             self.notify_entries()
 
     async def tick(self):
         """Look after the rank, send again what others may have missed."""
-        await self._watch_rank()
+        await self._poll_rank()
         is_open = self.member.is_open()
         now = self.node.clock.monotonic()
         if not is_open:
             self._open_since = None
         elif self._open_since is None:
             self._open_since = now
-        is_due = is_open and now - self._open_since > QUERY_AFTER_S
-        await self.act(self.member.tick, is_query_due=is_due)
+        is_due = is_open and now - self._open_since > OUTCOME_QUERY_DELAY_S
+        await self.call_member(self.member.tick, is_query_due=is_due)
         self.notify_entries()
-        if self.node.is_leaving or self.state_by_rank:
+        if self.node.is_leaving or self.peer_state_by_rank:
             self.notify_peers()
         metrics.update(self)
 
-    async def _watch_rank(self):
+    async def _poll_rank(self):
         try:
             state = await self.orders.state()
         except MagnoliagradeError:
             return
-        self._note_step(state.begun)
+        self._record_step(state.begun)
         boot_id, self.rank_boot_id = self.rank_boot_id, state.boot_id
         if not boot_id:
-            await self.act(self.member.start)
+            await self.call_member(self.member.start)
         elif boot_id != state.boot_id:
             log_event(_log, "group.rank_restarted", boot_id=state.boot_id)
-            await self.act(self.member.restart_rank)
+            await self.call_member(self.member.restart_rank)
 
-    def _note_step(self, step):
+    def _record_step(self, step):
         now = self.node.clock.monotonic()
         if step > self.step:
             self.step_s = (now - self._step_at) / (step - self.step)
@@ -203,28 +203,28 @@
 
     def choose_step(self):
         """Return the step to arm a switch for, far enough ahead to hold no rank."""
-        lead = math.ceil(LEAD_S / max(self.step_s, LEAST_STEP_S))
-        return self.step + max(LEAST_LEAD_STEPS, lead)
+        lead = math.ceil(SWITCH_LEAD_S / max(self.step_s, MIN_STEP_S))
+        return self.step + max(MIN_LEAD_STEPS, lead)
 
     def version_in_force(self):
         """Return the version of the map that the newest begun step used."""
-        return self.member.knowledge.version_at(self.step)
+        return self.member.view.version_at(self.step)
 
     def map_in_force(self):
         """Return the packed map that the newest begun step used."""
-        return self.member.knowledge.map_by_version[self.version_in_force()]
+        return self.member.view.map_by_version[self.version_in_force()]
 
-    def record_behind(self):
+    def is_record_stale(self):
         """Return whether the store's record may lack the map in force."""
         return self.recorded_version != self.version_in_force()
 
-    def verdict(self, coordinator):
+    def switch_result(self, coordinator):
         """Return whether a switch was committed; None while that is open."""
         member = self.member
         if coordinator.generation != member.generation:
             return False
-        place = (coordinator.version, coordinator.step)
-        outcome = member.outcome_by_switch.get(place)
+        switch_key = (coordinator.version, coordinator.step)
+        outcome = member.outcome_by_switch.get(switch_key)
         if outcome is None or member.is_open():
             return None
         return outcome is Outcome.COMMITTED
@@ -248,12 +248,12 @@
             seconds=counts.seconds,
         )
 
-    def note_coordinator(self, fence):
+    def record_coordinator(self, fence):
         """Note a sign of life of the coordinator, and its fencing number."""
         self.member.fence = max(self.member.fence, fence)
-        self.coordinator_heard_at = self.node.clock.monotonic()
+        self.coordinator_seen_at = self.node.clock.monotonic()
 
-    def take_counts(self, message):
+    def add_counts(self, message):
         """Take a rank's counts into the balance that this coordinator keeps."""
         if self.member.is_running:
             self.balance.add(message, unpack_placement(self.map_in_force()))
@@ -281,7 +281,7 @@
         if link.hello.role == Role.ENTRY.value:
             link.send(self._state())
         elif link.hello.group == self.group:
-            self.state_by_rank.pop(link.hello.rank, None)
+            self.peer_state_by_rank.pop(link.hello.rank, None)
             member = self.member
             join = GenerationJoin(
                 group=self.group,
@@ -294,9 +294,9 @@
     def notify_entries(self):
         """Notify every entry whether the group can take requests, if that changed."""
         state = self._state()
-        if state == self._told_state:
+        if state == self._notified_state:
             return
-        self._told_state = state
+        self._notified_state = state
         for link in self.node.links.of_role(Role.ENTRY):
             link.send(state)
 
@@ -309,12 +309,12 @@
             if rank != self.member.rank:
                 self.send(rank, state)
 
-    def note_peer_state(self, message):
+    def record_peer_state(self, message):
         """Note that a peer leaves, or what it still has in flight meanwhile."""
         if message.is_leaving or self.node.is_leaving:
-            self.state_by_rank[message.rank] = message
+            self.peer_state_by_rank[message.rank] = message
         else:
-            self.state_by_rank.pop(message.rank, None)
+            self.peer_state_by_rank.pop(message.rank, None)
 
     def count_in_flight(self):
         """Return the requests that need this rank, on all ranks.
@@ -327,7 +327,7 @@
         count = len(self._requests)
         for rank in set(range(self.member.ranks)) - {self.member.rank}:
             if self.link_of(rank) is not None:
-                state = self.state_by_rank.get(rank)
+                state = self.peer_state_by_rank.get(rank)
                 count += 1 if state is None else state.requests_in_flight
         return count
 
@@ -338,7 +338,7 @@
             rank=member.rank,
             generation=member.generation,
             is_complete=self.is_complete,
-            map_version=member.knowledge.version_at(self.step),
+            map_version=member.view.version_at(self.step),
         )
 
     @contextlib.contextmanager
@@ -367,7 +367,7 @@
         finally:
             self._requests.discard(task)
 
-    def _break_requests(self):
+    def _cancel_requests(self):
         requests, self._requests = self._requests, set()
         for task in requests:
             task.cancel()
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/group/tests/test_record.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/group/tests/test_map_record.py
@@ -4,7 +4,7 @@
 from magnoliagrade_standins.platform import MemoryStore
 from magnoliagrade_standins.platform.store import StoreFaults
 
-from magnoliagrade_agent.group.record import CoordinatorLease, GroupRecords
+from magnoliagrade_agent.group.map_record import CoordinatorLease, MapRecordStore
 
 
 def _lease(store, clock, holder):
@@ -48,8 +48,8 @@
 def test_first_record_is_made_once():
     async def main():
         store = MemoryStore(clock=ManualClock())
-        one = await GroupRecords(store=store, group="g").read_or_create(1, b"one")
-        two = await GroupRecords(store=store, group="g").read_or_create(1, b"two")
+        one = await MapRecordStore(store=store, group="g").read_or_create(1, b"one")
+        two = await MapRecordStore(store=store, group="g").read_or_create(1, b"two")
         assert one == two
         assert one.map == b"one"
 
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/group/knowledge.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/group/view.py
@@ -6,7 +6,14 @@
 
 from magnoliagrade.algorithms import hash64
 
-__all__ = ["GroupRecord", "Knowledge", "Outcome", "Switch", "generation_of", "settle"]
+__all__ = [
+    "MapRecord",
+    "GroupView",
+    "Outcome",
+    "Switch",
+    "generation_of",
+    "agreed_view",
+]
 
 
 class Outcome(enum.Enum):
@@ -18,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class GroupRecord:
+class MapRecord:
     """The map of a group in the store, for a group that restarts as a whole.
 
     Parameters
@@ -55,13 +62,13 @@
     outcome: Outcome = Outcome.OPEN
 
     @property
-    def place(self):
+    def key(self):
         """Return the version and step, which name the switch."""
         return (self.version, self.step)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Knowledge:
+class GroupView:
     """Maps that a rank knows to be in force.
 
     Parameters
@@ -91,7 +98,7 @@
         Examples
         --------
         >>> switch = Switch(version=2, step=9, outcome=Outcome.COMMITTED)
-        >>> known = Knowledge(origin=1, version=1, switch=switch)
+        >>> known = GroupView(origin=1, version=1, switch=switch)
         >>> known.version_at(8), known.version_at(9)
         (1, 2)
         """
@@ -101,14 +108,14 @@
             return switch.version
         return self.version
 
-    def armed(self, *, version, step, packed_map):
+    def with_armed(self, *, version, step, packed_map):
         """Return the knowledge after arming a next switch."""
         base = self.version_at(step)
         maps = {base: self.map_by_version.get(base, b""), version: packed_map}
         switch = Switch(version=version, step=step)
         return replace(self, version=base, switch=switch, map_by_version=maps)
 
-    def decided(self, outcome):
+    def with_outcome(self, outcome):
         """Return the knowledge after the newest switch's outcome became known."""
         return replace(self, switch=replace(self.switch, outcome=outcome))
 
@@ -125,7 +132,7 @@
     return hash64(data.hex()) or 1
 
 
-def settle(answers, *, generation):
+def agreed_view(answers, *, generation):
     """Return what a new generation starts from.
 
     Parameters
@@ -137,7 +144,7 @@
 
     Returns
     -------
-    knowledge : Knowledge
+    view : GroupView
         Same on every rank that has the same answers.
 
     Notes
@@ -149,12 +156,12 @@
     knows; if none knows any, from the newest record of the store.
     """
     if all(a.is_rank_new for a in answers):
-        return _settle_new_ranks(answers, generation)
+        return _view_of_new_ranks(answers, generation)
     # An agent may remember a count of steps that has since begun anew.
     origin = next(a.origin for a in answers if not a.is_rank_new)
     survivors = [a for a in answers if a.origin == origin]
     newest = max(survivors, key=lambda a: (a.open_step, a.open_version))
-    outcome = _settled_outcome(survivors, newest)
+    outcome = _agreed_outcome(survivors, newest)
     maps = {newest.current_version: newest.map}
     switch = None
     if newest.open_step:
@@ -162,7 +169,7 @@
         switch = Switch(
             version=newest.open_version, step=newest.open_step, outcome=outcome
         )
-    return Knowledge(
+    return GroupView(
         origin=newest.origin,
         version=newest.current_version,
         switch=switch,
@@ -171,17 +178,17 @@
     )
 
 
-def _settle_new_ranks(answers, generation):
+def _view_of_new_ranks(answers, generation):
     map_by_version = {a.current_version: a.map for a in answers}
     for answer in answers:
         if answer.outcome == Outcome.COMMITTED.value:
             map_by_version[answer.open_version] = answer.open_map
     version = max(map_by_version)
     maps = {version: map_by_version[version]}
-    return Knowledge(origin=generation, version=version, map_by_version=maps)
+    return GroupView(origin=generation, version=version, map_by_version=maps)
 
 
-def _settled_outcome(survivors, newest):
+def _agreed_outcome(survivors, newest):
     for answer in survivors:
         is_same = (answer.open_version, answer.open_step) == (
             newest.open_version,
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/explore/exploration.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/explore/exploration.py
@@ -7,7 +7,7 @@
 
 from magnoliagrade.errors import MagnoliagradeError
 from magnoliagrade.wire import StageAck
-from magnoliagrade_agent.group import GroupRecord
+from magnoliagrade_agent.group import MapRecord
 
 from magnoliagrade_standins.explore.faults import planted_faults
 from magnoliagrade_standins.explore.orders import UnreliableOrders
@@ -179,7 +179,7 @@
 
     def record(self):
         """Return the group's record in the store, which lags."""
-        return GroupRecord(version=1, map=b"1")
+        return MapRecord(version=1, map=b"1")
 
     def deliver(self, item):
         """Hand a message to the agent that now stands for a rank."""
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/explore/tests/test_cases.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/explore/tests/test_cases.py
@@ -12,7 +12,7 @@
     OutcomeKnown,
     SwitchOutcome,
 )
-from magnoliagrade_agent.group import GroupRecord, Outcome
+from magnoliagrade_agent.group import MapRecord, Outcome
 from magnoliagrade_agent.group.coordinator import SwitchPhase
 
 from magnoliagrade_standins.explore import Exploration, ExplorationPlan
@@ -57,7 +57,7 @@
 
 
 def _versions(group):
-    return {r.knowledge.version_at(r.begun + 99) for r in group.group.ranks}
+    return {r.view.version_at(r.begun + 99) for r in group.group.ranks}
 
 
 def _check(group):
@@ -132,7 +132,7 @@
     coordinator.resend()
     coordinator.resend()
     _flow(group)
-    outcomes = {m.knowledge.switch for m in group.member_by_rank.values()}
+    outcomes = {m.view.switch for m in group.member_by_rank.values()}
     assert Outcome.COMMITTED not in {s.outcome for s in outcomes if s}
     _check(group)
     assert _versions(group) == {1}
@@ -191,7 +191,7 @@
         _flow(group)
         _advance(group)
     assert not any(rank.is_running for rank in group.group.ranks)
-    record = GroupRecord(version=7, map=b"7")
+    record = MapRecord(version=7, map=b"7")
     finish(group.member_by_rank[2].offer_record(record, 9))
     _flow(group)
     _advance(group)
@@ -285,8 +285,8 @@
     _begin_switch(group)
     rank_hold = type(rank).hold
 
-    async def hold_and_fail(self, knowledge, *, after_step):
-        await rank_hold(self, knowledge, after_step=after_step)
+    async def hold_and_fail(self, view, *, after_step):
+        await rank_hold(self, view, after_step=after_step)
         raise MagnoliagradeError(ErrorKind.UPSTREAM_FAILED, "no answer")
 
     with mock.patch.object(type(rank), "hold", hold_and_fail):
@@ -299,9 +299,9 @@
 def test_rank_that_restarted_unnoticed_refuses_what_it_has_not_settled():
     group = _running_group()
     rank = group.group.ranks[1]
-    knowledge = rank.knowledge
+    view = rank.view
     rank.restart()
-    for order in (rank.note_outcome(knowledge), rank.run(1, 9)):
+    for order in (rank.note_outcome(view), rank.run(1, 9)):
         with unittest.TestCase().assertRaises(MagnoliagradeError):
             finish(order)
     group.unnoticed.add(1)
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/ranks/group.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/ranks/group.py
@@ -81,11 +81,11 @@
         self._begun_ranks.setdefault((rank.generation, step), set()).add(rank.index)
         self._begun_ranks.pop((rank.generation, step - 2), None)
         record = StepRecord(
-            origin=rank.knowledge.origin,
+            origin=rank.view.origin,
             generation=rank.generation,
             step=step,
             rank=rank.index,
-            version=rank.knowledge.version_at(step),
+            version=rank.view.version_at(step),
         )
         self.records.append(record)
         return True
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/ranks/rank.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/ranks/rank.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 from magnoliagrade.errors import ErrorKind, MagnoliagradeError
-from magnoliagrade_agent.group import Knowledge, Outcome, RankState
+from magnoliagrade_agent.group import GroupView, Outcome, RankState
 
 __all__ = ["Rank", "StaleFence"]
 
@@ -42,7 +42,7 @@
         "honours_fence",
         "index",
         "is_running",
-        "knowledge",
+        "view",
     )
 
     def __init__(self, *, index, honours_fence=True, load=None):
@@ -61,7 +61,7 @@
         self.generation = 0
         self.hold_step = 0
         self.is_running = False
-        self.knowledge = Knowledge()
+        self.view = GroupView()
 
     def check_fence(self, fence):
         """Refuse an order of an agent that has been replaced.
@@ -91,39 +91,39 @@
         return RankState(
             boot_id=f"rank-{self.index}-{self.boots}",
             begun=self.begun,
-            knowledge=replace(self.knowledge, completed=self.completed),
+            view=replace(self.view, completed=self.completed),
         )
 
     async def stage(self, version, packed_map):
         """Load the experts of a map; return whether they are all there."""
         return self._load(version, packed_map)
 
-    async def hold(self, knowledge, *, after_step):
+    async def hold(self, view, *, after_step):
         """Close the gate at the step of an open switch."""
-        step = knowledge.switch.step
+        step = view.switch.step
         if not self.is_running or step <= self.begun or self.begun < after_step:
             return False
-        self.knowledge = knowledge
+        self.view = view
         self.hold_step = step
         return True
 
-    async def note_outcome(self, knowledge):
+    async def note_outcome(self, view):
         """Keep the outcome of the newest switch."""
         self._check_settled()
-        self.knowledge = knowledge
+        self.view = view
 
     async def release(self, step):
         """Open the gate for a held step."""
         if self.hold_step == step:
             self.hold_step = 0
 
-    async def settle(self, knowledge):
+    async def settle(self, view):
         """Keep what a new generation starts from."""
-        self.knowledge = knowledge
-        self.completed = knowledge.completed
-        self.begun = knowledge.completed
+        self.view = view
+        self.completed = view.completed
+        self.begun = view.completed
         self.hold_step = 0
-        switch = knowledge.switch
+        switch = view.switch
         if switch is not None and switch.outcome is Outcome.OPEN:
             self.hold_step = switch.step
 
@@ -132,7 +132,7 @@
         self._check_settled()
         if self.is_running and self.generation == generation:
             return True
-        loads = [self._load(v, m) for v, m in self.knowledge.map_by_version.items()]
+        loads = [self._load(v, m) for v, m in self.view.map_by_version.items()]
         if not all(loads):
             return False
         self.generation = generation
@@ -143,6 +143,6 @@
 
     def _check_settled(self):
         # The agent may not have noticed yet that the rank has restarted.
-        if not self.knowledge.origin:
+        if not self.view.origin:
             detail = f"rank {self.index} has settled nothing since its start"
             raise MagnoliagradeError(ErrorKind.FENCED, detail)
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/ranks/server.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/ranks/server.py
@@ -9,7 +9,7 @@
 from aiohttp import web
 from magnoliagrade.algorithms.balance import rank_times, unpack_placement
 from magnoliagrade.errors import MagnoliagradeError
-from magnoliagrade_agent.group.rank_client import decode_knowledge, encode_knowledge
+from magnoliagrade_agent.group.rank_client import decode_view, encode_view
 
 from magnoliagrade_standins.balance.drift import DAY_S, DriftingPopularity
 from magnoliagrade_standins.engine import Engine, EngineProfile, make_engine_app
@@ -118,7 +118,7 @@
 
     def times(self):
         """Return the work of each rank by layer, under rank 0's map."""
-        known = self.group.ranks[0].knowledge
+        known = self.group.ranks[0].view
         version = known.version_at(self.group.ranks[0].begun)
         packed_map = known.map_by_version.get(version)
         if not packed_map:
@@ -231,13 +231,13 @@
 
 
 async def _hold(rank, fields):
-    knowledge = decode_knowledge(fields["knowledge"])
-    accepted = await rank.hold(knowledge, after_step=fields["after_step"])
+    view = decode_view(fields["knowledge"])
+    accepted = await rank.hold(view, after_step=fields["after_step"])
     return {"accepted": accepted}
 
 
 async def _outcome(rank, fields):
-    await rank.note_outcome(decode_knowledge(fields["knowledge"]))
+    await rank.note_outcome(decode_view(fields["knowledge"]))
     return {}
 
 
@@ -247,7 +247,7 @@
 
 
 async def _settle(rank, fields):
-    await rank.settle(decode_knowledge(fields["knowledge"]))
+    await rank.settle(decode_view(fields["knowledge"]))
     return {}
 
 
@@ -270,7 +270,7 @@
     return {
         "boot_id": state.boot_id,
         "begun": state.begun,
-        "knowledge": encode_knowledge(state.knowledge),
+        "knowledge": encode_view(state.view),
     }
 
 
