--- a/packages/magnoliagrade-agent/magnoliagrade_agent/group/__init__.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/group/__init__.py
@@ -1,4 +1,4 @@
-"""Expert-parallel groups: what an agent does for its rank."""
+"""Membership of an agent and its rank in an expert-parallel group."""
 
 from magnoliagrade_agent.group.coordinator import SwitchCoordinator, SwitchPhase
 from magnoliagrade_agent.group.member import GroupMember
@@ -12,8 +12,8 @@
 
 __all__ = [
     "GroupMember",
-    "MapRecord",
     "GroupView",
+    "MapRecord",
     "Outcome",
     "RankOrders",
     "RankState",
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/group/balancing.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/group/balancing.py
@@ -1,4 +1,4 @@
-"""What a group's coordinator knows of its balance, and its plans."""
+"""Load statistics of a group at its coordinator, and plans to rebalance it."""
 
 import numpy as np
 from magnoliagrade.algorithms.balance import (
@@ -15,14 +15,14 @@
 
 
 class GroupBalance:
-    """Counts and speeds of a group's ranks at its coordinator.
+    """Token counts and speeds of a group's ranks, from which plans are made.
 
     Parameters
     ----------
     group : Group
         The group's configuration.
     groups : int
-        Groups that share the data centre's weight store.
+        Number of groups that share the data centre's weight store.
     clock : Clock
         Source of time.
     """
@@ -41,12 +41,12 @@
         self._speeds = SpeedEstimator(ranks=group.ranks)
 
     def add(self, message, holds):
-        """Take a rank's report of counts and work.
+        """Add a rank's report of token counts and working time.
 
         Parameters
         ----------
         message : ExpertCounts
-            The report; one of another size is left out.
+            The report; ignored if its size does not match the group's configuration.
         holds : ndarray of bool, shape (layers, ranks, experts)
             Placement in force.
         """
@@ -67,11 +67,11 @@
             self._speeds.add(message.rank, seconds=message.work_seconds, load=load)
 
     def skew(self, holds):
-        """Return the skew that the counts give under a placement."""
+        """Return the skew of the ranks' times under a placement, from the counts."""
         return skew(rank_times(holds, self._counter.rates(), self._speeds.speeds()))
 
     def plan(self, holds):
-        """Return the plan of the group's policy, or None to stay.
+        """Return the plan of the group's policy, or None to keep the placement.
 
         Parameters
         ----------
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/group/coordination.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/group/coordination.py
@@ -1,4 +1,4 @@
-"""The tasks around a group's record and its coordinator."""
+"""Background tasks that read a group's record and coordinate the group."""
 
 import asyncio
 import logging
@@ -17,32 +17,40 @@
 from magnoliagrade_agent.group.coordinator import SwitchCoordinator, SwitchPhase
 from magnoliagrade_agent.group.map_record import CoordinatorLease, MapRecordStore
 
-__all__ = ["coordinate", "read_record_until_running"]
+__all__ = ["coordinate", "poll_record"]
 
+# Version of the initial placement, with which a group without a record starts.
 FIRST_VERSION = 1
 LEASE_TTL_S = 10.0
+# A third of the lifetime, so that a late renewal does not let the lease expire.
 RENEWAL_INTERVAL_S = LEASE_TTL_S / 3
+# Mean interval between rounds; each is varied by half so that agents do not poll the
+# store at the same time.
 COORDINATION_INTERVAL_S = 1.0
 RECORD_READ_INTERVAL_S = 0.5
+# A coordinator abandons a switch that has no outcome after this time.
 SWITCH_TIMEOUT_S = 60.0
 SWITCH_POLL_INTERVAL_S = 0.05
 RESEND_INTERVAL_S = 0.3
+# A version is the fencing token times this number plus a count, so versions of
+# different coordinators never collide and later coordinators use higher versions.
 VERSIONS_PER_FENCE = 1 << 20
 
 _log = logging.getLogger(__name__)
 
 
-async def read_record_until_running(service):
-    """Read the group's record and newest fence until the group runs.
+async def poll_record(service):
+    """Read the group's record and newest fencing token until a record is known.
 
     Parameters
     ----------
     service : GroupService
-        The agent's group.
+        Group service of the agent.
 
     Notes
     -----
-    Without the store a group of which no rank knows anything stays out of steps.
+    The store is read only while the group does not run. While the store is
+    unavailable, a group in which no rank knows a map runs no steps.
     """
     node = service.node
     records = MapRecordStore(store=node.store, group=service.group)
@@ -62,12 +70,12 @@
 
 
 async def coordinate(service):
-    """Hold the lease if it is free; then gather counts, plan and switch.
+    """Compete for the lease; while holding it, collect counts, plan and switch maps.
 
     Parameters
     ----------
     service : GroupService
-        The agent's group.
+        Group service of the agent.
     """
     node = service.node
     lease = CoordinatorLease(
@@ -85,7 +93,7 @@
             continue
         silent_s = node.clock.monotonic() - service.coordinator_seen_at
         if not lease.is_held and silent_s < LEASE_TTL_S:
-            # The store is asked only when no coordinator is heard of.
+            # Reads the store only if no coordinator was seen for the lease's lifetime.
             continue
         is_held = await coordination.hold_lease()
         metrics.COORDINATOR.labels(service.group).set(is_held)
@@ -102,11 +110,11 @@
         self.records = MapRecordStore(store=service.node.store, group=service.group)
         self.planned_at = service.node.clock.monotonic()
         self.counts_requested_at = self.planned_at
-        self.versions = 0
+        self.version_count = 0
         self.renewed_at = float("-inf")
 
     async def hold_lease(self):
-        """Renew the lease when it is due, or take it; return whether it is held."""
+        """Renew the lease if due, or try to acquire it; return whether it is held."""
         now = self.service.node.clock.monotonic()
         if self.lease.is_held and now - self.renewed_at < RENEWAL_INTERVAL_S:
             return True
@@ -125,14 +133,14 @@
             service.send(rank, request)
 
     async def try_round(self, group):
-        """Take a turn; a store that does not answer only ends this one."""
+        """Run a round; an error, such as a store outage, ends only this round."""
         try:
             await self.run_round(group)
         except MagnoliagradeError as exc:
             log_event(_log, "group.turn_failed", code=exc.kind.value)
 
     async def run_round(self, group):
-        """Record the map, gather counts and rebalance, each when it is due."""
+        """Write the record, request counts and rebalance, each if it is due."""
         service = self.service
         if service.balance is None or service.balance.group is not group:
             groups = len(service.node.configuration.in_force.group_by_name)
@@ -179,16 +187,16 @@
             saving_s=round(plan.saving_s, 3),
             cost_s=round(plan.cost_s, 3),
         )
-        is_done = await self._switch(pack_placement(plan.holds))
-        result = "carried-out" if is_done else "failed"
+        is_carried_out = await self._switch(pack_placement(plan.holds))
+        result = "carried-out" if is_carried_out else "failed"
         metrics.PLANS.labels(group.name, result).inc()
-        if is_done:
+        if is_carried_out:
             size = group.rebalancing_options().expert_bytes
             moved = plan.transfers * size
             metrics.MOVED_BYTES.labels(group.name).inc(moved)
 
     async def _switch_to_pinned(self, version):
-        """Switch to the map that operators have pinned, if it is another one."""
+        """Switch to the map that operators have pinned, unless it is in force."""
         packed_map = await self.records.read_version(version)
         if packed_map is None:
             log_event(_log, "group.pinned_unknown", map_version=version)
@@ -197,14 +205,14 @@
 
     async def _switch(self, packed_map):
         service, clock = self.service, self.service.node.clock
-        self.versions += 1
+        self.version_count += 1
         outbox = []
         coordinator = SwitchCoordinator(
             group=service.group,
             ranks=service.member.ranks,
             generation=service.member.generation,
             fence=self.lease.fence,
-            version=self.lease.fence * VERSIONS_PER_FENCE + self.versions,
+            version=self.lease.fence * VERSIONS_PER_FENCE + self.version_count,
             packed_map=packed_map,
             choose_step=service.choose_step,
             send=lambda rank, message: outbox.append((rank, message)),
@@ -213,7 +221,7 @@
         coordinator.start()
         began = phase_began = resent = clock.monotonic()
         phase = coordinator.phase
-        is_done = False
+        is_carried_out = False
         while clock.monotonic() - began < SWITCH_TIMEOUT_S:
             await self._send_outbox(outbox)
             if coordinator.phase is not phase:
@@ -221,7 +229,7 @@
                 phase, phase_began = coordinator.phase, clock.monotonic()
             is_committed = service.switch_result(coordinator)
             if is_committed is not None or phase is SwitchPhase.FENCED:
-                is_done = bool(is_committed)
+                is_carried_out = bool(is_committed)
                 break
             await clock.sleep(SWITCH_POLL_INTERVAL_S)
             if clock.monotonic() - resent > RESEND_INTERVAL_S:
@@ -230,7 +238,7 @@
                 coordinator.resend()
         self._record_phase(phase, clock.monotonic() - phase_began)
         service.coordinator = None
-        return is_done
+        return is_carried_out
 
     def _record_phase(self, phase, seconds):
         metrics.SWITCH_S.labels(self.service.group, phase.value).observe(seconds)
@@ -241,7 +249,7 @@
             await self.service.deliver(rank, message)
 
     async def _write_record(self):
-        """Bring the store's record up to the map in force."""
+        """Write the map in force to the store if the record is stale."""
         service = self.service
         version = service.version_in_force()
         if not service.is_record_stale():
@@ -259,7 +267,10 @@
 
 
 def _group_configuration(service):
-    """Return the group's configuration, or None if it does not fit the settings."""
+    """Return the group's configuration, or None if missing or of another size.
+
+    The number of ranks must match the number of addresses in the agent's settings.
+    """
     configuration = service.node.configuration.in_force
     group = configuration.group_by_name.get(service.group)
     if group is not None and group.ranks != service.member.ranks:
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/group/coordinator.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/group/coordinator.py
@@ -1,4 +1,4 @@
-"""Staging and arming of one switch by the holder of a group's lease."""
+"""Staging and arming of one switch of the map by the holder of a group's lease."""
 
 import enum
 
@@ -8,7 +8,7 @@
 
 
 class SwitchPhase(enum.Enum):
-    """How far a switch has come."""
+    """Phase of a switch at its coordinator."""
 
     STAGING = "staging"
     ARMING = "arming"
@@ -16,7 +16,7 @@
 
 
 class SwitchCoordinator:
-    """Brings all ranks of a generation to arm one switch.
+    """Stages one switch on all ranks of a generation, then orders them to arm it.
 
     Parameters
     ----------
@@ -25,23 +25,23 @@
     ranks : int
         Number of ranks.
     generation : int
-        Generation that the switch is for; in another one it counts for nothing.
+        Generation of the switch; ranks in another generation ignore the switch.
     fence : int
-        Fencing number of the lease.
+        Fencing token of the lease.
     version : int
         Version of the new map.
     packed_map : bytes
         The new map.
     choose_step : callable
-        Returns the step from which the map is to be used.
+        Returns the first step that uses the new map.
     send : callable
-        Called with a rank and a message; may lose it.
+        Called with a rank and a message; the message may be lost.
 
     Notes
     -----
-    It never decides an outcome: that follows from the ranks' answers, so a
-    coordinator that was paused past its lease can at worst start a switch that the
-    ranks then settle among themselves.
+    The coordinator never decides an outcome, because the outcome follows from the
+    replies of the ranks. A coordinator that was paused until its lease expired can at
+    worst start a switch whose outcome the ranks then determine among themselves.
     """
 
     __slots__ = (
@@ -83,12 +83,16 @@
         self._staged_ranks = set()
 
     def start(self):
-        """Order every rank to load the map."""
+        """Order every rank to load the experts of the new map."""
         for rank in range(self.ranks):
             self._send(rank, self._stage(packed_map=self.packed_map))
 
     def on_stage_ack(self, ack):
-        """Take a rank's answer; arm once all have loaded the map."""
+        """Handle a rank's reply to staging; arm once all ranks have loaded the map.
+
+        A reply with a higher fencing token ends the switch, since a newer coordinator
+        exists.
+        """
         is_other = (ack.generation, ack.version) != (self.generation, self.version)
         if is_other or self.phase is not SwitchPhase.STAGING:
             return
@@ -102,7 +106,7 @@
             self._send(ack.rank, self._stage(packed_map=self.packed_map))
 
     def resend(self):
-        """Repeat the orders of the present phase."""
+        """Resend the orders of the current phase to ranks that may have missed them."""
         if self.phase is SwitchPhase.STAGING:
             for rank in set(range(self.ranks)) - self._staged_ranks:
                 self._send(rank, self._stage())
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/group/generations.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/group/generations.py
@@ -1,4 +1,4 @@
-"""A rank's part in the generations of its group."""
+"""Protocol by which the ranks of a group form a generation."""
 
 import logging
 from dataclasses import replace
@@ -22,7 +22,7 @@
 
 
 class GenerationMember:
-    """One rank's agent as a member of its group's generations.
+    """State machine of one rank's agent that forms generations with its peers.
 
     Parameters
     ----------
@@ -33,19 +33,21 @@
     ranks : int
         Number of ranks.
     incarnation : int
-        Number of this start; higher than those of earlier ones as far as known.
+        Number of this start of the rank, meant to exceed those of earlier starts. If a
+        peer knows a higher one, it replies with that one and this agent exceeds it.
     orders : RankOrders
         Orders to the rank.
     send : callable
-        Called with a rank and a message; may lose it.
+        Called with a rank and a message; the message may be lost.
 
     Notes
     -----
-    A generation is named by the incarnations of all ranks, so no number has to be
-    agreed on. In it each rank gives one answer on each matter and never another:
-    one on what it knew before, one on each arming. Therefore all ranks that have
-    all answers come to the same conclusion, in whatever order messages arrive.
-    Everything is sent again until it is of no more use, so losses only delay.
+    The number of a generation is computed from the incarnations of all ranks, so the
+    ranks need not agree on a number. In a generation each rank gives exactly one answer
+    to each question and never changes it: one answer about its view before the
+    generation, and one reply to each arming. Therefore all ranks that have all answers
+    reach the same conclusion, regardless of the order in which messages arrive.
+    Messages are resent until they are no longer needed, so a loss only causes a delay.
     """
 
     __slots__ = (
@@ -56,17 +58,17 @@
         "generation",
         "generations_opened",
         "group",
+        "has_run",
         "incarnation_by_rank",
         "is_rank_new",
         "is_running",
         "is_superseded",
-        "view",
         "orders",
         "rank",
         "ranks",
         "record",
         "settled_ranks",
-        "has_run",
+        "view",
     )
 
     def __init__(self, *, group, rank, ranks, incarnation, orders, send):
@@ -88,27 +90,27 @@
 
     @property
     def incarnation(self):
-        """Return the incarnation under which this rank has joined."""
+        """Return the incarnation with which this rank joins generations."""
         return self.incarnation_by_rank[self.rank]
 
     async def start(self):
-        """Stop the rank, learn what it knows and open a generation."""
+        """Pause the rank, read its view and open a generation."""
         await self._open_generation()
 
     async def restart_rank(self):
-        """Open a generation because the rank behind this agent has restarted."""
+        """Open a generation after the rank of this agent has restarted."""
         self.incarnation_by_rank[self.rank] += 1
         await self._open_generation()
 
     async def offer_record(self, record, fence):
-        """Take the group's record and newest fence from the store.
+        """Accept the group's record and newest fencing token, as read from the store.
 
         Parameters
         ----------
         record : MapRecord
-            Map to start from if no rank knows any.
+            Record with the map to start from if no rank knows a map.
         fence : int
-            Newest fencing number in the store.
+            Newest fencing token in the store.
         """
         self.record = record
         self.fence = max(self.fence, fence)
@@ -116,24 +118,24 @@
             await self._broadcast_answer()
 
     async def on_message(self, message, reply):
-        """Handle a message of the group.
+        """Handle a message from a peer; ignored once this agent is superseded.
 
         Parameters
         ----------
         message : object
-            A message of the group's family.
+            Message of a class in `handler_by_message`.
         reply : callable
-            Sends a message back to where this one came from.
+            Sends a message to the sender of this one.
         """
         if self.is_superseded:
             return
         await self.handler_by_message[type(message)](self, message, reply)
 
     async def tick(self):
-        """Send again what others may have missed of an incomplete generation."""
+        """Resend messages of a generation that does not run yet, and retry orders."""
         if self.is_running or self.is_superseded:
             return
-        # An order to the rank may have failed halfway.
+        # The order to pause the rank may have failed after the generation was reset.
         if not self.generation and len(self.incarnation_by_rank) == self.ranks:
             await self._open_generation()
             return
@@ -173,12 +175,12 @@
         )
 
     async def _on_join(self, message, reply):
-        known = self.incarnation_by_rank.get(message.rank, 0)
+        known_incarnation = self.incarnation_by_rank.get(message.rank, 0)
         if message.rank == self.rank:
             await self._on_own_incarnation(message.incarnation)
-        elif message.incarnation < known:
-            reply(replace(message, incarnation=known))
-        elif message.incarnation > known:
+        elif message.incarnation < known_incarnation:
+            reply(replace(message, incarnation=known_incarnation))
+        elif message.incarnation > known_incarnation:
             self.incarnation_by_rank[message.rank] = message.incarnation
             await self._open_generation()
         elif message.generation != self.generation:
@@ -192,7 +194,7 @@
         if incarnation <= self.incarnation:
             return
         if self.has_run:
-            # A process that replaced this one has the rank now.
+            # Another process has replaced this one as the agent of the rank.
             self._reset_generation()
             self.is_superseded = True
             await self.orders.pause()
@@ -204,11 +206,11 @@
     async def _broadcast_answer(self):
         if self.rank in self.answer_by_rank or not self._can_answer():
             return
-        known = self.view
-        version, packed_map = known.version, known.map_by_version.get(known.version)
-        if not known.origin and self.record is not None:
+        view = self.view
+        version, packed_map = view.version, view.map_by_version.get(view.version)
+        if not view.origin and self.record is not None:
             version, packed_map = self.record.version, self.record.map
-        switch = known.switch
+        switch = view.switch
         answer = GenerationAnswer(
             group=self.group,
             generation=self.generation,
@@ -216,8 +218,8 @@
             incarnation=self.incarnation,
             current_version=version,
             map=packed_map or b"",
-            completed_step=known.completed,
-            origin=known.origin,
+            completed_step=view.completed,
+            origin=view.origin,
             fence=self.fence,
             incarnations=self._incarnations(),
             is_rank_new=self.is_rank_new,
@@ -225,13 +227,13 @@
         if switch is not None:
             answer.open_version, answer.open_step = switch.key
             answer.outcome = switch.outcome.value
-            answer.open_map = known.map_by_version.get(switch.version, b"")
+            answer.open_map = view.map_by_version.get(switch.version, b"")
         self.answer_by_rank[self.rank] = answer
         self._broadcast(answer)
         await self._maybe_settle()
 
     def _can_answer(self):
-        # A rank that knows nothing waits for the store or for one that knows.
+        # A rank without a map waits for the store's record or a peer that knows a map.
         others_know = any(a.current_version for a in self.answer_by_rank.values())
         return bool(self.view.origin or self.record or others_know)
 
@@ -249,8 +251,8 @@
             return
         is_new = False
         for rank, incarnation in enumerate(incarnations):
-            known = self.incarnation_by_rank.get(rank, 0)
-            if rank != self.rank and incarnation > known:
+            known_incarnation = self.incarnation_by_rank.get(rank, 0)
+            if rank != self.rank and incarnation > known_incarnation:
                 self.incarnation_by_rank[rank] = incarnation
                 is_new = True
         if is_new:
@@ -297,7 +299,7 @@
             )
 
     def _may_run(self):
-        # Round 4 of a new generation: all ranks know what it starts from.
+        # Round 4, the last of a new generation: every rank has stored the common view.
         return len(self.settled_ranks) == self.ranks
 
     def _broadcast_generation(self):
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/group/handlers.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/group/handlers.py
@@ -1,4 +1,4 @@
-"""Messages between the agents of a group, and their background tasks."""
+"""Handlers of messages between the agents of a group, and its background tasks."""
 
 from magnoliagrade.wire import (
     ArmAck,
@@ -16,7 +16,7 @@
     SwitchOutcome,
 )
 
-from magnoliagrade_agent.group.coordination import coordinate, read_record_until_running
+from magnoliagrade_agent.group.coordination import coordinate, poll_record
 from magnoliagrade_agent.handlers import agent_handlers, agent_tasks
 
 __all__ = []
@@ -25,7 +25,7 @@
 
 
 async def on_group_message(node, link, message):
-    """Hand a message of a peer's agent to the group, if it is this one."""
+    """Pass a message from a peer agent to this agent's group; ignore other groups."""
     service = node.group_service
     if service is not None and message.group == service.group:
         await service.on_message(link, message)
@@ -48,7 +48,7 @@
 
 @agent_handlers.on(CountsRequest)
 async def on_counts_request(node, link, message):
-    """Send the coordinator what the rank counted."""
+    """Record the coordinator's heartbeat; reply with token counts if requested."""
     service = node.group_service
     if service is None or message.group != service.group:
         return
@@ -62,7 +62,7 @@
 
 @agent_handlers.on(ExpertCounts)
 async def on_expert_counts(node, link, message):
-    """Take a rank's counts if this agent coordinates."""
+    """Add a rank's counts to the balance if this agent coordinates the group."""
     service = node.group_service
     if service is not None and service.balance is not None:
         service.add_counts(message)
@@ -70,7 +70,7 @@
 
 @agent_handlers.on(GroupState)
 async def on_group_state(node, link, message):
-    """Note whether a peer leaves and what it has in flight."""
+    """Record whether a peer is leaving and how many requests it has in flight."""
     service = node.group_service
     if service is not None and message.group == service.group:
         service.record_peer_state(message)
@@ -78,14 +78,14 @@
 
 @agent_tasks.register("group-links")
 async def keep_peer_links(node):
-    """Keep linked to the agents of the group."""
+    """Keep links to the other agents of the group."""
     if node.group_service is not None:
         await node.group_service.keep_peer_links()
 
 
 @agent_tasks.register("group-ticks")
 async def tick(node):
-    """Repeat what peers may have missed."""
+    """Poll the rank and resend messages that peers may have missed."""
     while node.group_service is not None:
         await node.group_service.tick()
         await node.clock.sleep(TICK_INTERVAL_S)
@@ -93,13 +93,13 @@
 
 @agent_tasks.register("group-record")
 async def read_record(node):
-    """Learn the group's record from the store while the group does not run."""
+    """Read the group's record from the store if the group does not run."""
     if node.group_service is not None:
-        await read_record_until_running(node.group_service)
+        await poll_record(node.group_service)
 
 
 @agent_tasks.register("group-coordination")
 async def run_coordination(node):
-    """Hold the group's lease if it is free, and balance the group."""
+    """Compete for the group's lease and rebalance the group while holding it."""
     if node.group_service is not None:
         await coordinate(node.group_service)
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/group/map_record.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/group/map_record.py
@@ -1,4 +1,4 @@
-"""What the platform's store holds of a group: its map and its coordinator."""
+"""Records of a group in the platform's store: its map and its coordinator's lease."""
 
 import struct
 
@@ -14,7 +14,7 @@
 
 
 class MapRecordStore:
-    """The record of a group's map.
+    """Reads and writes the records of a group's maps in the store.
 
     Parameters
     ----------
@@ -32,7 +32,7 @@
         self._lease_key = lease_key(group)
 
     async def read(self):
-        """Return the record, or None if there is none yet."""
+        """Return the record of the group's map, or None if the store has none."""
         value = await self._store.get(self._key, purpose=PURPOSE)
         if value is None:
             return None
@@ -41,7 +41,7 @@
         return MapRecord(version=version, map=packed_map, revision=value.revision)
 
     async def read_or_create(self, version, packed_map):
-        """Return the record, which is made of this map if there is none."""
+        """Return the record; create it from this map if the store has none."""
         record = await self.read()
         if record is not None:
             return record
@@ -52,14 +52,29 @@
         return await self.read()
 
     async def write(self, version, packed_map, *, expected_revision):
-        """Write the record; raises `StoreConflict` if another write came first."""
+        """Write the record and return its new store revision.
+
+        Parameters
+        ----------
+        version : int
+            Version of the map.
+        packed_map : bytes
+            Packed map.
+        expected_revision : int
+            Store revision that the write replaces; 0 to create the record.
+
+        Raises
+        ------
+        StoreConflict
+            If the record has another revision because of a concurrent write.
+        """
         value = _VERSION.pack(version) + packed_map
         return await self._store.put(
             self._key, value, expected_revision=expected_revision, purpose=PURPOSE
         )
 
     async def write_version(self, version, packed_map):
-        """Keep a map under its version, so that operators can pin it."""
+        """Store a map under its version, so that operators can pin the version."""
         await self._store.put(
             f"{self._key}/{version}",
             packed_map,
@@ -68,18 +83,18 @@
         )
 
     async def read_version(self, version):
-        """Return the packed map of a version, or None."""
+        """Return the packed map stored under a version, or None."""
         value = await self._store.get(f"{self._key}/{version}", purpose=PURPOSE)
         return value.value if value else None
 
     async def newest_fence(self):
-        """Return the fencing number of the present coordinator, or 0."""
+        """Return the current coordinator's fencing token, or 0 if the lease is free."""
         value = await self._store.get(self._lease_key, purpose=PURPOSE)
         return value.revision if value else 0
 
 
 class CoordinatorLease:
-    """The lease whose holder coordinates a group.
+    """Lease in the store whose holder coordinates a group.
 
     Parameters
     ----------
@@ -88,17 +103,17 @@
     group : str
         Name of the group.
     holder : str
-        Name of this instance.
+        Name of this instance, written as the value of the key.
     clock : Clock
         Source of time.
     ttl_s : float
-        Time for which the lease holds without renewal.
+        Lifetime of the lease without renewal, in seconds.
 
     Notes
     -----
-    The fencing number is the store's revision of the key, which every write
-    increases. Whether the lease still holds is never relied on for safety: members
-    compare fencing numbers, and outcomes do not depend on the coordinator.
+    The fencing token is the store's revision of the key, which every write increases.
+    Safety never depends on whether the lease is still valid: members compare fencing
+    tokens, and the outcome of a switch does not depend on the coordinator.
     """
 
     __slots__ = ("_clock", "_holder", "_key", "_lease", "_store", "fence", "ttl_s")
@@ -114,16 +129,16 @@
 
     @property
     def is_held(self):
-        """Whether this agent believes that it holds the lease."""
+        """Whether this agent believes that it holds the lease; it may have expired."""
         return bool(self.fence)
 
     async def acquire_or_renew(self):
-        """Take the lease if it is free, renew it if it is held here.
+        """Acquire the lease if it is free, or renew it if this agent holds it.
 
         Returns
         -------
         held : bool
-            Whether it is held here now.
+            Whether this agent holds the lease after the call.
         """
         try:
             if self.is_held:
@@ -141,17 +156,18 @@
             )
             return True
         except MagnoliagradeError:
-            # Lapsed, lost to another one, or the answer was lost: begin anew.
+            # The lease expired, another agent acquired it, or the store's response was
+            # lost. The next call tries to acquire the lease again.
             self.fence = 0
             return False
 
     async def give_up(self):
-        """End the lease, so that another agent can take it at once."""
+        """Revoke the lease, so that another agent can acquire it without delay."""
         if self.is_held:
             self.fence = 0
             await self._store.revoke_lease(self._lease, purpose=PURPOSE)
 
 
 def lease_key(group):
-    """Return the key whose holder coordinates a group."""
+    """Return the store key of the lease of a group's coordinator."""
     return f"groups/{group}/coordinator"
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/group/member.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/group/member.py
@@ -1,4 +1,4 @@
-"""A rank's part in the switch of its group's expert map."""
+"""Protocol by which the ranks of a group switch the expert map."""
 
 import logging
 from dataclasses import replace
@@ -23,35 +23,36 @@
 
 
 class GroupMember(GenerationMember):
-    """One rank's agent as a member of its group.
+    """State machine of one rank's agent that switches maps with its peers.
 
     Parameters are those of `GenerationMember`.
 
     Notes
     -----
-    Every rank answers an arming to all others, once and for good. So the outcome
-    follows from the answers alone: committed if all armed, aborted if one refused.
-    Neither the coordinator nor the store is needed to find it: a rank that is asked
-    about a switch that it has not armed refuses it. The rank begins the step of the
-    switch only after every rank is known to know the outcome.
+    Every rank sends its reply to an arming to all other ranks and never changes it. So
+    the outcome follows from the replies alone: committed if all ranks armed, aborted if
+    one rejected. Neither the coordinator nor the store is needed to determine the
+    outcome: a rank that is queried about a switch that it has not armed rejects the
+    switch. The rank begins the step of the switch only after it knows that every rank
+    knows the outcome, so no step runs with two maps.
     """
 
     __slots__ = (
         "_arm_acks_by_switch",
         "_arm_reply_by_switch",
-        "_pending_arm_key",
         "_informed_ranks_by_switch",
+        "_pending_arm_key",
         "is_switch_closed",
         "outcome_by_switch",
     )
 
     async def tick(self, *, is_query_due=False):
-        """Send again what others may have missed.
+        """Resend messages that peers may have missed, and retry pending decisions.
 
         Parameters
         ----------
         is_query_due : bool
-            Whether an open switch has been open for long enough to ask for it.
+            Whether the switch has been open long enough to query peers for its outcome.
         """
         await super().tick()
         if self.is_running:
@@ -64,7 +65,7 @@
                 self._broadcast(self._query())
 
     def is_open(self):
-        """Return whether a switch is armed here and not yet closed."""
+        """Return whether this rank has armed a switch and not yet closed it."""
         return self.is_running and not self.is_switch_closed
 
     def _reset_generation(self):
@@ -114,7 +115,10 @@
         self._pending_arm_key = None
 
     async def _reject_pending_arm(self):
-        """Refuse a switch that the rank may hold without having said so."""
+        """Reject a switch whose arming was interrupted before the reply was sent.
+
+        The rank may hold the step although the order to hold it appeared to fail.
+        """
         switch_key = self._pending_arm_key
         if switch_key is not None and switch_key not in self._arm_reply_by_switch:
             await self._reply_to_arm(switch_key, False)
@@ -132,21 +136,23 @@
         armed = self.view.with_armed(
             version=message.version, step=message.step, packed_map=packed_map
         )
-        # Steps before the last switch may still need the map that arming drops.
+        # Arming drops the map from before the last switch, which steps before that
+        # switch may still need. So the rank must have begun the last switch's step.
         after_step = last.step if last else 0
         if not await self.orders.hold(armed, after_step=after_step):
             return False
-        # The rank has begun that step, so it has completed the one before.
+        # The rank has begun `after_step`, so it has completed the step before it.
         completed = max(armed.completed, after_step - 1)
         self.view = replace(armed, completed=completed)
         self.is_switch_closed = False
         return True
 
     def _last_possible_step(self):
-        """Return the newest step that some rank may have begun on today's map.
+        """Return the newest step that any rank may have begun with the current map.
 
-        A rank that died may have completed the step that its survivors gave up,
-        and have begun the one after.
+        A rank that failed may have completed the step that the survivors abandoned, and
+        may have begun the step after it. That is two steps after the newest completed
+        step.
         """
         last = self.view.switch
         return max(self.view.completed + 2, last.step if last else 0)
@@ -157,7 +163,7 @@
         self._arm_reply_by_switch[switch_key] = accepted
         self._acks(switch_key)[self.rank] = accepted
         if not accepted:
-            # Who refuses knows the outcome.
+            # A rejection aborts the switch, so the rejecting rank knows the outcome.
             self.outcome_by_switch[switch_key] = Outcome.ABORTED
             self._informed_ranks(switch_key).add(self.rank)
         self._send_switch_state(switch_key, self._broadcast)
@@ -188,7 +194,8 @@
     async def _decide(self, outcome):
         switch_key = self.view.switch.key
         decided = self.view.with_outcome(outcome)
-        # The rank keeps the outcome before anyone may rely on this agent's word.
+        # The rank stores the outcome before this agent announces it, so that a restart
+        # of the agent cannot lose an outcome that peers rely on.
         await self.orders.note_outcome(decided)
         self.view = decided
         self.outcome_by_switch[switch_key] = outcome
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/group/metrics.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/group/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of an agent's group."""
+"""Prometheus metrics of the group that an agent belongs to."""
 
 from prometheus_client import Counter, Gauge, Histogram
 
@@ -51,12 +51,12 @@
 
 
 def update(service):
-    """Set the gauges of a group's agent.
+    """Set the gauges that show the state of an agent's group.
 
     Parameters
     ----------
     service : GroupService
-        The agent's group.
+        Group service of the agent.
     """
     group, member = service.group, service.member
     COMPLETE.labels(group).set(service.is_complete)
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/group/orders.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/group/orders.py
@@ -1,4 +1,4 @@
-"""What an agent orders its rank to do."""
+"""Interface of the orders that an agent gives to its rank."""
 
 from dataclasses import dataclass, field
 from typing import Protocol
@@ -10,16 +10,17 @@
 
 @dataclass(slots=True, kw_only=True)
 class RankState:
-    """What a rank says of itself.
+    """State that a rank reports.
 
     Parameters
     ----------
     boot_id : str
-        Changes whenever the rank's process starts anew.
+        Identifies the start of the rank's process; changes with each restart.
     begun : int
-        Newest step that it began.
+        Newest step that the rank began.
     view : GroupView
-        What its agents have told it, with the newest step that it completed.
+        View that its agents stored at the rank, with the newest step that the rank
+        completed.
     """
 
     boot_id: str = ""
@@ -28,32 +29,32 @@
 
 
 class RankOrders(Protocol):
-    """Orders to one rank; each returns once the rank has obeyed.
+    """Orders to one rank; each returns once the rank has carried it out.
 
-    A rank that has just started begins no step until it is told to run. What it is
-    told outlives a restart of its agent.
+    A rank that has just started begins no step before the order to run. The rank keeps
+    the state from its orders across a restart of its agent.
     """
 
     async def pause(self):
-        """Begin no further step, give up a begun one; return the `RankState`."""
+        """Begin no further step and abandon a begun one; return the `RankState`."""
 
     async def stage(self, version, packed_map):
-        """Load the experts of a map; return whether they are all there."""
+        """Load the experts of a map; return whether all of them are loaded."""
 
     async def hold(self, view, *, after_step):
         """Do not begin the step of an open switch; return whether it is held.
 
-        It is refused if the step has begun, or `after_step` has not.
+        The order is rejected if the step has begun or if `after_step` has not begun.
         """
 
     async def note_outcome(self, view):
-        """Keep the outcome of the newest switch."""
+        """Store the outcome of the newest switch."""
 
     async def release(self, step):
-        """Lift the hold of a step."""
+        """Release the hold before a step."""
 
     async def settle(self, view):
-        """Keep what a new generation starts from, while paused."""
+        """Store the view from which a new generation starts; the rank is paused."""
 
     async def run(self, generation, step):
         """Run from a step on; return whether the maps are loaded and it runs."""
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/group/rank_client.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/group/rank_client.py
@@ -1,4 +1,4 @@
-"""Client of a rank: the agent's orders over HTTP."""
+"""HTTP client that sends an agent's orders to its rank."""
 
 import asyncio
 import base64
@@ -19,20 +19,21 @@
 
 @dataclass(slots=True, kw_only=True)
 class RankCounts:
-    """What a rank counted since it was last asked.
+    """Counters of a rank since they were last read.
 
     Parameters
     ----------
     counts : ndarray of shape (layers, experts)
         Tokens that the rank sent to each expert.
     seconds : float
-        Time that was counted.
+        Time that the counters cover, in seconds.
     work_s : float
-        Time that the rank worked, without waiting for others.
+        Time that the rank worked, without the time it waited for other ranks, in
+        seconds.
     step : int
-        Newest step that it began.
+        Newest step that the rank began.
     step_s : float
-        Length of a step.
+        Duration of a step in seconds.
     """
 
     counts: np.ndarray
@@ -43,20 +44,23 @@
 
 
 class RankClient:
-    """Orders to a rank over its HTTP protocol.
+    """Client of a rank's HTTP protocol; implements `RankOrders`.
 
     Parameters
     ----------
     url : str
-        Base URL.
+        Base URL of the rank.
     session : aiohttp.ClientSession
-        Session whose connections are used.
+        HTTP session.
     fence : callable
-        Returns the fencing number of this agent, its incarnation in the group.
+        Returns the fencing token of this agent, which is its incarnation in the group.
 
     Notes
     -----
-    The protocol is described in docs/PLATFORM.md.
+    The protocol is described in docs/PLATFORM.md. Each method raises
+    `MagnoliagradeError`: `FENCED` if the rank has seen a higher fencing token,
+    `UPSTREAM_FAILED` if it does not respond within `ORDER_TIMEOUT_S`, if the connection
+    fails or if the response is invalid.
     """
 
     __slots__ = ("_fence", "_session", "_url")
@@ -67,51 +71,51 @@
         self._fence = fence
 
     async def pause(self):
-        """Stop the rank and return its `RankState`."""
+        """Pause the rank and return its `RankState`."""
         return _state(await self._order("pause"))
 
     async def state(self):
-        """Return the rank's `RankState` without stopping it."""
+        """Return the rank's `RankState` without pausing the rank."""
         return _state(await self._call("GET", "/rank/state"))
 
     async def stage(self, version, packed_map):
-        """Load the experts of a map; return whether they are all there."""
-        answer = await self._order("stage", version=version, map=_base64(packed_map))
-        return answer["accepted"]
+        """Load the experts of a map; return whether all of them are loaded."""
+        response = await self._order("stage", version=version, map=_base64(packed_map))
+        return response["accepted"]
 
     async def hold(self, view, *, after_step):
-        """Close the gate at the step of an open switch."""
+        """Hold the rank before an open switch's step; return whether it is held."""
         fields = encode_view(view)
-        answer = await self._order("hold", knowledge=fields, after_step=after_step)
-        return answer["accepted"]
+        response = await self._order("hold", knowledge=fields, after_step=after_step)
+        return response["accepted"]
 
     async def note_outcome(self, view):
-        """Keep the outcome of the newest switch."""
+        """Store the outcome of the newest switch at the rank."""
         await self._order("outcome", knowledge=encode_view(view))
 
     async def release(self, step):
-        """Lift the hold of a step."""
+        """Release the hold before a step."""
         await self._order("release", step=step)
 
     async def settle(self, view):
-        """Keep what a new generation starts from."""
+        """Store the view from which a new generation starts at the rank."""
         await self._order("settle", knowledge=encode_view(view))
 
     async def run(self, generation, step):
-        """Run from a step on; return whether it runs."""
-        answer = await self._order("run", generation=str(generation), step=step)
-        return answer["accepted"]
+        """Run the rank from a step on; return whether it runs."""
+        response = await self._order("run", generation=str(generation), step=step)
+        return response["accepted"]
 
     async def counts(self):
         """Return and reset the rank's `RankCounts`."""
-        answer = await self._order("counts")
-        counts = np.array(answer["counts"], dtype=float)
+        response = await self._order("counts")
+        counts = np.array(response["counts"], dtype=float)
         return RankCounts(
             counts=counts,
-            seconds=answer["seconds"],
-            work_s=answer["work_s"],
-            step=answer["step"],
-            step_s=answer["step_s"],
+            seconds=response["seconds"],
+            work_s=response["work_s"],
+            step=response["step"],
+            step_s=response["step_s"],
         )
 
     async def _order(self, name, **fields):
@@ -127,7 +131,7 @@
                 ) as response,
             ):
                 if response.status == 409:
-                    detail = f"{path} with fence {self._fence()}"
+                    detail = f"{path}: rank rejected fencing token {self._fence()}"
                     raise MagnoliagradeError(ErrorKind.FENCED, detail)
                 response.raise_for_status()
                 return await response.json()
@@ -137,10 +141,11 @@
 
 
 def encode_view(view):
-    """Return knowledge as a mapping ready for JSON."""
+    """Return a `GroupView` as a mapping that can be written as JSON."""
     switch = view.switch
     return {
-        # JSON numbers of other programs hold no 64 bits.
+        # A string, because many JSON parsers read numbers as doubles, which cannot hold
+        # all 64-bit integers.
         "origin": str(view.origin),
         "version": view.version,
         "completed": view.completed,
@@ -155,7 +160,7 @@
 
 
 def decode_view(fields):
-    """Return the knowledge that a mapping holds."""
+    """Return the `GroupView` read from a mapping made by `encode_view`."""
     switch = fields["switch"]
     return GroupView(
         origin=int(fields["origin"]),
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/group/service.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/group/service.py
@@ -1,4 +1,4 @@
-"""A group member's life inside its agent: links, ticks, requests."""
+"""Service that runs a group member in its agent: links, ticks, requests."""
 
 import asyncio
 import contextlib
@@ -24,36 +24,41 @@
 
 __all__ = ["GroupService", "new_group_incarnation"]
 
+# A group is incomplete if a peer has been silent for this long.
 PEER_TIMEOUT_S = 4.0
+# Time that a switch is open before its outcome is queried.
 OUTCOME_QUERY_DELAY_S = 0.3
+# Minimum time between arming and the step of a switch, so that no rank is held at it.
 SWITCH_LEAD_S = 0.5
+# Minimum number of steps between the newest begun step and the step of a switch.
 MIN_LEAD_STEPS = 4
+# Lower bound of a step's duration, which is 0 before the first step is seen.
 MIN_STEP_S = 0.001
 
 _log = logging.getLogger(__name__)
 
 
 class GroupService:
-    """What an agent does for its group.
+    """Connects a `GroupMember` to its rank, to peer agents, to entries and to requests.
 
     Parameters
     ----------
     node : AgentInstance
-        The agent, whose settings name a group.
+        The agent; its settings name the group.
 
     Notes
     -----
-    Messages of all links and ticks go through one lock, so that each finds the
-    rank's answer to the order before it.
+    Messages from all links and ticks are handled under one lock, so that each is
+    handled after the rank has replied to the order before it.
     """
 
     __slots__ = (
         "_lock",
+        "_notified_state",
         "_open_since",
         "_requests",
         "_sequence",
         "_step_at",
-        "_notified_state",
         "addresses",
         "balance",
         "coordinator",
@@ -62,9 +67,9 @@
         "member",
         "node",
         "orders",
+        "peer_state_by_rank",
         "rank_boot_id",
         "recorded_version",
-        "peer_state_by_rank",
         "step",
         "step_s",
     )
@@ -104,7 +109,10 @@
 
     @property
     def is_complete(self):
-        """Whether the group runs and every peer has been heard of lately."""
+        """Whether the group runs, no rank is leaving and all peers are in contact.
+
+        A peer is in contact if its link received data within `PEER_TIMEOUT_S`.
+        """
         if not self.member.is_running or self.node.is_leaving:
             return False
         if any(state.is_leaving for state in self.peer_state_by_rank.values()):
@@ -117,7 +125,7 @@
         return all(silence_s(k) < PEER_TIMEOUT_S for k in link_by_rank.values())
 
     def link_of(self, rank):
-        """Return the link to a rank's agent, or None."""
+        """Return the link to a rank's agent, or None if there is none."""
         return self._link_by_rank().get(rank)
 
     def _link_by_rank(self):
@@ -129,13 +137,13 @@
         }
 
     def send(self, rank, message):
-        """Send a message to a rank's agent; it is lost if there is no link."""
+        """Send a message to a rank's agent; without a link the message is dropped."""
         link = self.link_of(rank)
         if link is not None:
             link.send(message)
 
     async def on_message(self, link, message):
-        """Handle a message of a peer's agent."""
+        """Handle a message from a peer agent."""
         if isinstance(message, StageAck):
             if self.coordinator is not None:
                 self.coordinator.on_stage_ack(message)
@@ -143,7 +151,7 @@
         await self.call_member(self.member.on_message, message, link.send)
 
     async def deliver(self, rank, message):
-        """Hand a coordinator's order to a rank, which may be this one."""
+        """Deliver a coordinator's order to the agent of a rank, possibly this agent."""
         if rank != self.member.rank:
             self.send(rank, message)
             return
@@ -154,7 +162,10 @@
                 self.coordinator.on_stage_ack(reply)
 
     async def call_member(self, method, *arguments, **options):
-        """Let the member act; an order that the rank did not take is tried again."""
+        """Call a method of the member under the lock.
+
+        Errors of orders to the rank are logged; a later tick retries the orders.
+        """
         async with self._lock:
             was_running = self.member.is_running
             try:
@@ -167,7 +178,7 @@
             self.notify_entries()
 
     async def tick(self):
-        """Look after the rank, send again what others may have missed."""
+        """Poll the rank, resend messages that peers may have missed, update metrics."""
         await self._poll_rank()
         is_open = self.member.is_open()
         now = self.node.clock.monotonic()
@@ -202,24 +213,27 @@
         self.step, self._step_at = step, now
 
     def choose_step(self):
-        """Return the step to arm a switch for, far enough ahead to hold no rank."""
+        """Return the step for a new switch, far enough ahead that no rank is held."""
         lead = math.ceil(SWITCH_LEAD_S / max(self.step_s, MIN_STEP_S))
         return self.step + max(MIN_LEAD_STEPS, lead)
 
     def version_in_force(self):
-        """Return the version of the map that the newest begun step used."""
+        """Return the version of the map that the newest begun step uses."""
         return self.member.view.version_at(self.step)
 
     def map_in_force(self):
-        """Return the packed map that the newest begun step used."""
+        """Return the packed map that the newest begun step uses."""
         return self.member.view.map_by_version[self.version_in_force()]
 
     def is_record_stale(self):
-        """Return whether the store's record may lack the map in force."""
+        """Return whether the store's record may not contain the map in force."""
         return self.recorded_version != self.version_in_force()
 
     def switch_result(self, coordinator):
-        """Return whether a switch was committed; None while that is open."""
+        """Return whether a switch was committed; None until that is known.
+
+        A switch of an earlier generation counts as not committed.
+        """
         member = self.member
         if coordinator.generation != member.generation:
             return False
@@ -230,7 +244,7 @@
         return outcome is Outcome.COMMITTED
 
     async def read_counts(self):
-        """Return the rank's counts since the last time, or None if it is silent."""
+        """Return the rank's counts since the last call, or None if the rank failed."""
         try:
             counts = await self.orders.counts()
         except MagnoliagradeError:
@@ -249,17 +263,17 @@
         )
 
     def record_coordinator(self, fence):
-        """Note a sign of life of the coordinator, and its fencing number."""
+        """Record that the coordinator is alive, and its fencing token."""
         self.member.fence = max(self.member.fence, fence)
         self.coordinator_seen_at = self.node.clock.monotonic()
 
     def add_counts(self, message):
-        """Take a rank's counts into the balance that this coordinator keeps."""
+        """Add a rank's counts to the load statistics of this coordinator."""
         if self.member.is_running:
             self.balance.add(message, unpack_placement(self.map_in_force()))
 
     async def keep_peer_links(self):
-        """Dial the agents of all higher ranks and keep linked to them."""
+        """Keep a link to the agent of each higher rank; reconnect if it breaks."""
         node = self.node
         dials = [
             keep_linked(
@@ -277,7 +291,7 @@
         await asyncio.gather(*dials)
 
     def on_link_up(self, link):
-        """Introduce this rank to a peer's agent, its state to an entry."""
+        """Send the group's state to a new entry, or a join message to a new peer."""
         if link.hello.role == Role.ENTRY.value:
             link.send(self._state())
         elif link.hello.group == self.group:
@@ -292,7 +306,7 @@
             link.send(join)
 
     def notify_entries(self):
-        """Notify every entry whether the group can take requests, if that changed."""
+        """Send the group's state to every entry if the state has changed."""
         state = self._state()
         if state == self._notified_state:
             return
@@ -301,7 +315,7 @@
             link.send(state)
 
     def notify_peers(self):
-        """Notify the agents of the other ranks of what is in flight here."""
+        """Send requests in flight and whether this agent is leaving to all peers."""
         state = self._state()
         state.requests_in_flight = len(self._requests)
         state.is_leaving = self.node.is_leaving
@@ -310,19 +324,20 @@
                 self.send(rank, state)
 
     def record_peer_state(self, message):
-        """Note that a peer leaves, or what it still has in flight meanwhile."""
+        """Record a peer's state while that peer or this agent is leaving."""
         if message.is_leaving or self.node.is_leaving:
             self.peer_state_by_rank[message.rank] = message
         else:
             self.peer_state_by_rank.pop(message.rank, None)
 
     def count_in_flight(self):
-        """Return the requests that need this rank, on all ranks.
+        """Return the number of requests in flight, on all ranks, that need this rank.
 
         Notes
         -----
-        Ranks run in lock-step: if this one ends, the requests of all others break
-        off. A linked peer that has not said anything yet counts as one request.
+        Ranks run in lock-step: if this rank stops, the requests of all other ranks are
+        cut off. A linked peer that has not reported its state yet counts as one
+        request.
         """
         count = len(self._requests)
         for rank in set(range(self.member.ranks)) - {self.member.rank}:
@@ -343,13 +358,13 @@
 
     @contextlib.contextmanager
     def serving(self):
-        """Return a context in which a request is served by the group.
+        """Return a context manager in which the group serves a request.
 
         Raises
         ------
         MagnoliagradeError
-            `NOT_RUN` before the request has begun if the group is not complete,
-            `ANSWER_BROKEN` if a new generation begins while it runs.
+            `NOT_RUN` if the group is not complete; the request has not begun.
+            `ANSWER_BROKEN` if a new generation begins while the request runs.
         """
         if not self.is_complete:
             detail = f"group {self.group} is not complete"
@@ -362,7 +377,7 @@
             if task in self._requests:
                 raise
             task.uncancel()
-            detail = f"group {self.group} began a new generation"
+            detail = f"group {self.group} began a new generation during the request"
             raise MagnoliagradeError(ErrorKind.ANSWER_BROKEN, detail) from exc
         finally:
             self._requests.discard(task)
@@ -376,12 +391,13 @@
 
 
 def new_group_incarnation(clock, rng):
-    """Return a number that is higher than those of earlier starts of a rank.
+    """Return the incarnation for a new start of a rank, higher than earlier ones.
 
     Notes
     -----
-    Milliseconds of the wall clock and random bits. A clock that has gone back only
-    costs a round trip: peers tell the highest number that they know.
+    The number consists of the wall clock's milliseconds and 20 random bits. A clock
+    that was set back costs only a round trip, since peers reply with the highest
+    incarnation that they know.
     """
     milliseconds = int(clock.now().timestamp() * 1000)
     return (milliseconds << 20) | rng.getrandbits(20)
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/group/serving.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/group/serving.py
@@ -1,4 +1,4 @@
-"""Whether an agent's group lets a request in."""
+"""Admission of requests by the group of an agent."""
 
 import contextlib
 
@@ -6,12 +6,12 @@
 
 
 def group_serving(node):
-    """Return the context in which an agent serves one request.
+    """Return the context manager in which an agent serves one request.
 
     Parameters
     ----------
     node : AgentInstance
-        The agent; without a group nothing is added.
+        The agent; if it has no group, the context manager does nothing.
     """
     if node.group_service is None:
         return contextlib.nullcontext()
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/group/tests/test_map_record.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/group/tests/test_map_record.py
@@ -13,7 +13,7 @@
     )
 
 
-def test_fence_rises_with_each_holder():
+def test_fencing_token_increases_with_each_holder():
     async def main():
         clock = ManualClock()
         store = MemoryStore(clock=clock)
@@ -32,7 +32,7 @@
     asyncio.run(main())
 
 
-def test_lease_is_not_held_when_the_answer_was_lost():
+def test_lease_is_not_held_if_the_response_of_the_store_was_lost():
     async def main():
         clock = ManualClock()
         store = MemoryStore(clock=clock)
@@ -45,7 +45,7 @@
     asyncio.run(main())
 
 
-def test_first_record_is_made_once():
+def test_second_read_or_create_returns_the_first_record():
     async def main():
         store = MemoryStore(clock=ManualClock())
         one = await MapRecordStore(store=store, group="g").read_or_create(1, b"one")
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/group/tests/test_view.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/group/tests/test_view.py
@@ -12,47 +12,54 @@
     return GenerationAnswer(rank=rank, **{**common, **fields})
 
 
-def _open(rank, outcome, **fields):
+def _answer_with_switch(rank, outcome, **fields):
     return _answer(
         rank, open_version=2, open_step=6, open_map=b"2", outcome=outcome, **fields
     )
 
 
-def test_commit_that_one_survivor_knows_binds_all():
-    known = agreed_view([_open(0, ""), _open(1, "committed")], generation=5)
-    assert known.version_at(5) == 1
-    assert known.version_at(6) == 2
+def test_switch_is_committed_if_one_survivor_knows_the_commit():
+    view = agreed_view(
+        [_answer_with_switch(0, ""), _answer_with_switch(1, "committed")], generation=5
+    )
+    assert view.version_at(5) == 1
+    assert view.version_at(6) == 2
 
 
-def test_switch_that_nobody_knows_committed_is_aborted():
-    known = agreed_view([_open(0, ""), _answer(1)], generation=5)
-    assert known.switch.outcome is Outcome.ABORTED
-    assert known.version_at(6) == 1
+def test_switch_is_aborted_if_no_survivor_knows_a_commit():
+    view = agreed_view([_answer_with_switch(0, ""), _answer(1)], generation=5)
+    assert view.switch.outcome is Outcome.ABORTED
+    assert view.version_at(6) == 1
 
 
-def test_new_ranks_count_steps_anew_from_the_newest_map():
-    answers = [_open(0, "committed", is_rank_new=True), _answer(1, is_rank_new=True)]
-    known = agreed_view(answers, generation=5)
-    assert (known.origin, known.completed, known.version) == (5, 0, 2)
+def test_restart_of_all_ranks_resets_steps_and_uses_the_newest_map():
+    answers = [
+        _answer_with_switch(0, "committed", is_rank_new=True),
+        _answer(1, is_rank_new=True),
+    ]
+    view = agreed_view(answers, generation=5)
+    assert (view.origin, view.completed, view.version) == (5, 0, 2)
 
 
-def test_answer_of_an_earlier_count_of_steps_is_left_out():
-    older = _open(0, "committed", origin=7, is_rank_new=True, completed_step=90)
-    known = agreed_view([older, _answer(1)], generation=5)
-    assert (known.origin, known.completed, known.version) == (9, 4, 1)
+def test_answer_with_an_earlier_origin_is_ignored():
+    older = _answer_with_switch(
+        0, "committed", origin=7, is_rank_new=True, completed_step=90
+    )
+    view = agreed_view([older, _answer(1)], generation=5)
+    assert (view.origin, view.completed, view.version) == (9, 4, 1)
 
 
-def test_generation_is_named_by_all_incarnations():
+def test_generation_depends_on_the_incarnation_of_each_rank():
     assert generation_of([1, 2]) != generation_of([2, 1])
 
 
-def test_knowledge_survives_json():
+def test_view_is_unchanged_by_a_json_round_trip():
     switch = Switch(version=2, step=6, outcome=Outcome.COMMITTED)
-    known = GroupView(
+    view = GroupView(
         origin=2**63 + 1,
         version=1,
         switch=switch,
         completed=4,
         map_by_version={1: b"\x00", 2: b"\xff"},
     )
-    assert decode_view(json.loads(json.dumps(encode_view(known)))) == known
+    assert decode_view(json.loads(json.dumps(encode_view(view)))) == view
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/group/view.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/group/view.py
@@ -1,4 +1,4 @@
-"""What a rank knows of its group's maps, and how survivors settle it."""
+"""A rank's view of its group's expert maps, and the agreement on a common view."""
 
 import enum
 import struct
@@ -7,17 +7,17 @@
 from magnoliagrade.algorithms import hash64
 
 __all__ = [
-    "MapRecord",
     "GroupView",
+    "MapRecord",
     "Outcome",
     "Switch",
-    "generation_of",
     "agreed_view",
+    "generation_of",
 ]
 
 
 class Outcome(enum.Enum):
-    """How the switch of a map ended."""
+    """Outcome of a switch of the expert map; `OPEN` until it is known."""
 
     OPEN = ""
     COMMITTED = "committed"
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MapRecord:
-    """The map of a group in the store, for a group that restarts as a whole.
+    """Record of a group's map in the store, for a restart of all ranks of the group.
 
     Parameters
     ----------
@@ -45,16 +45,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Switch:
-    """The newest switch that a rank has armed.
+    """Newest switch of the map that a rank has armed.
 
     Parameters
     ----------
     version : int
         Version of the new map.
     step : int
-        First step that uses it if the switch is committed.
+        First step that uses the new map if the switch is committed.
     outcome : Outcome
-        What is known of it.
+        Outcome as far as the rank knows it.
     """
 
     version: int
@@ -63,27 +63,27 @@
 
     @property
     def key(self):
-        """Return the version and step, which name the switch."""
+        """Return the version and step, which identify the switch in its generation."""
         return (self.version, self.step)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class GroupView:
-    """Maps that a rank knows to be in force.
+    """Maps in force and newest switch, as far as one rank knows.
 
     Parameters
     ----------
     origin : int
-        Generation in which all ranks were new and the count of steps began; 0 if
-        nothing is known.
+        Generation from which steps are counted; all ranks were new in it. 0 if the
+        rank knows no map.
     version : int
-        Map before the newest switch.
+        Version of the map in force before the newest switch.
     switch : Switch, optional
         Newest switch.
     completed : int
         Newest step that the rank completed.
     map_by_version : dict of int to bytes
-        Packed maps of these versions.
+        Packed maps by version.
     """
 
     origin: int = 0
@@ -93,13 +93,13 @@
     map_by_version: dict = field(default_factory=dict)
 
     def version_at(self, step):
-        """Return the version of the map that a step uses.
+        """Return the version of the map that a step uses in this view.
 
         Examples
         --------
         >>> switch = Switch(version=2, step=9, outcome=Outcome.COMMITTED)
-        >>> known = GroupView(origin=1, version=1, switch=switch)
-        >>> known.version_at(8), known.version_at(9)
+        >>> view = GroupView(origin=1, version=1, switch=switch)
+        >>> view.version_at(8), view.version_at(9)
         (1, 2)
         """
         switch = self.switch
@@ -109,55 +109,57 @@
         return self.version
 
     def with_armed(self, *, version, step, packed_map):
-        """Return the knowledge after arming a next switch."""
+        """Return the view after the rank has armed the next switch."""
         base = self.version_at(step)
         maps = {base: self.map_by_version.get(base, b""), version: packed_map}
         switch = Switch(version=version, step=step)
         return replace(self, version=base, switch=switch, map_by_version=maps)
 
     def with_outcome(self, outcome):
-        """Return the knowledge after the newest switch's outcome became known."""
+        """Return the view with the outcome of the newest switch."""
         return replace(self, switch=replace(self.switch, outcome=outcome))
 
 
 def generation_of(incarnations):
-    """Return the number of the generation made of these incarnations by rank.
+    """Return the number of the generation that these incarnations form.
 
     Parameters
     ----------
     incarnations : sequence of int
-        Incarnation of each rank.
+        Incarnation of each rank, in the order of ranks.
     """
     data = struct.pack(f">{len(incarnations)}Q", *incarnations)
     return hash64(data.hex()) or 1
 
 
 def agreed_view(answers, *, generation):
-    """Return what a new generation starts from.
+    """Return the view from which all ranks of a new generation start.
 
     Parameters
     ----------
     answers : sequence of GenerationAnswer
-        One answer of every rank.
+        The answers of all ranks, one for each.
     generation : int
         The new generation.
 
     Returns
     -------
     view : GroupView
-        Same on every rank that has the same answers.
+        The view; every rank that has the same answers computes the same one.
 
     Notes
     -----
-    Steps of successive switches increase on every rank, so the answer with the
-    highest step has folded all earlier ones into its version. A switch that no
-    answer knows as committed is aborted for good. If all ranks have restarted, steps
-    are counted anew under another origin, from the newest map that an agent still
-    knows; if none knows any, from the newest record of the store.
+    The steps of successive switches increase on every rank, so the version in the
+    answer with the highest step includes the outcome of all earlier switches. A switch
+    that no answer reports as committed is aborted permanently. If all ranks have
+    restarted, steps are counted from the start under a new origin, with the newest map
+    that an agent still knows, or, if no agent knows a map, with the newest record of
+    the store.
     """
     if all(a.is_rank_new for a in answers):
         return _view_of_new_ranks(answers, generation)
-    # An agent may remember a count of steps that has since begun anew.
+    # An agent that outlived a restart of all ranks may answer with an earlier origin,
+    # whose steps were counted separately. Such answers are ignored.
     origin = next(a.origin for a in answers if not a.is_rank_new)
     survivors = [a for a in answers if a.origin == origin]
     newest = max(survivors, key=lambda a: (a.open_step, a.open_version))
