--- a/packages/magnoliagrade-agent/magnoliagrade_agent/group/service.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/group/service.py
@@ -1,4 +1,4 @@
-"""A group member's life inside its agent: links, ticks, requests."""
+"""Service that runs a group member in its agent: links, ticks, requests."""
 
 import asyncio
 import contextlib
@@ -18,53 +18,58 @@
 from magnoliagrade.world import Role
 
 from magnoliagrade_agent.group import metrics
-from magnoliagrade_agent.group.knowledge import Outcome
 from magnoliagrade_agent.group.member import GroupMember
 from magnoliagrade_agent.group.rank_client import RankClient
+from magnoliagrade_agent.group.view import Outcome
 
 __all__ = ["GroupService", "new_group_incarnation"]
 
-PEER_GRACE_S = 4.0
-QUERY_AFTER_S = 0.3
-LEAD_S = 0.5
-LEAST_LEAD_STEPS = 4
-LEAST_STEP_S = 0.001
+# A group is incomplete if a peer has been silent for this long.
+PEER_TIMEOUT_S = 4.0
+# Time that a switch is open before its outcome is queried.
+OUTCOME_QUERY_DELAY_S = 0.3
+# Minimum time between arming and the step of a switch, so that no rank is held at it.
+SWITCH_LEAD_S = 0.5
+# Minimum number of steps between the newest begun step and the step of a switch.
+MIN_LEAD_STEPS = 4
+# Lower bound of a step's duration, which is 0 before the first step is seen.
+MIN_STEP_S = 0.001
 
 _log = logging.getLogger(__name__)
 
 
 class GroupService:
-    """What an agent does for its group.
+    """Connects a `GroupMember` to its rank, to peer agents, to entries and to requests.
 
     Parameters
     ----------
     node : AgentInstance
-        The agent, whose settings name a group.
+        The agent; its settings name the group.
 
     Notes
     -----
-    Messages of all links and ticks go through one lock, so that each finds the
-    rank's answer to the order before it.
+    Messages from all links and ticks are handled under one lock, so that each is
+    handled after the rank has replied to the order before it.
     """
 
     __slots__ = (
         "_lock",
+        "_notified_state",
         "_open_since",
         "_requests",
         "_sequence",
         "_step_at",
-        "_told_state",
         "addresses",
         "balance",
         "coordinator",
-        "coordinator_heard_at",
+        "coordinator_seen_at",
         "group",
         "member",
         "node",
         "orders",
+        "peer_state_by_rank",
         "rank_boot_id",
         "recorded_version",
-        "state_by_rank",
         "step",
         "step_s",
     )
@@ -75,16 +80,16 @@
         self.group = settings.group
         self.addresses = [a.strip() for a in settings.group_addresses.split(",")]
         self.coordinator = None
-        self.coordinator_heard_at = float("-inf")
+        self.coordinator_seen_at = float("-inf")
         self.balance = None
         self.recorded_version = 0
         self.step_s = 0.0
         self._sequence = 0
         self._step_at = node.clock.monotonic()
         self.rank_boot_id = ""
-        self._told_state = None
+        self._notified_state = None
         self.step = 0
-        self.state_by_rank = {}
+        self.peer_state_by_rank = {}
         self._lock = asyncio.Lock()
         self._requests = set()
         self._open_since = None
@@ -104,20 +109,23 @@
 
     @property
     def is_complete(self):
-        """Whether the group runs and every peer has been heard of lately."""
+        """Whether the group runs, no rank is leaving and all peers are in contact.
+
+        A peer is in contact if its link received data within `PEER_TIMEOUT_S`.
+        """
         if not self.member.is_running or self.node.is_leaving:
             return False
-        if any(state.is_leaving for state in self.state_by_rank.values()):
+        if any(state.is_leaving for state in self.peer_state_by_rank.values()):
             return False
         link_by_rank = self._link_by_rank()
         link_by_rank.pop(self.member.rank, None)
         if len(link_by_rank) < self.member.ranks - 1:
             return False
         silence_s = self.node.links.silence_s
-        return all(silence_s(k) < PEER_GRACE_S for k in link_by_rank.values())
+        return all(silence_s(k) < PEER_TIMEOUT_S for k in link_by_rank.values())
 
     def link_of(self, rank):
-        """Return the link to a rank's agent, or None."""
+        """Return the link to a rank's agent, or None if there is none."""
         return self._link_by_rank().get(rank)
 
     def _link_by_rank(self):
@@ -129,32 +137,35 @@
         }
 
     def send(self, rank, message):
-        """Send a message to a rank's agent; it is lost if there is no link."""
+        """Send a message to a rank's agent; without a link the message is dropped."""
         link = self.link_of(rank)
         if link is not None:
             link.send(message)
 
     async def on_message(self, link, message):
-        """Handle a message of a peer's agent."""
+        """Handle a message from a peer agent."""
         if isinstance(message, StageAck):
             if self.coordinator is not None:
                 self.coordinator.on_stage_ack(message)
             return
-        await self.act(self.member.on_message, message, link.send)
+        await self.call_member(self.member.on_message, message, link.send)
 
-    async def order(self, rank, message):
-        """Hand a coordinator's order to a rank, which may be this one."""
+    async def deliver(self, rank, message):
+        """Deliver a coordinator's order to the agent of a rank, possibly this agent."""
         if rank != self.member.rank:
             self.send(rank, message)
             return
         replies = []
-        await self.act(self.member.on_message, message, replies.append)
+        await self.call_member(self.member.on_message, message, replies.append)
         for reply in replies:
             if self.coordinator is not None and isinstance(reply, StageAck):
                 self.coordinator.on_stage_ack(reply)
 
-    async def act(self, method, *arguments, **options):
-        """Let the member act; an order that the rank did not take is tried again."""
+    async def call_member(self, method, *arguments, **options):
+        """Call a method of the member under the lock.
+
+        Errors of orders to the rank are logged; a later tick retries the orders.
+        """
         async with self._lock:
             was_running = self.member.is_running
             try:
@@ -162,75 +173,78 @@
             except MagnoliagradeError as exc:
                 log_event(_log, "group.rank_failed", code=exc.kind.value)
             if was_running and not self.member.is_running:
-                self._break_requests()
+                self._cancel_requests()
         if was_running != self.member.is_running:
             self.notify_entries()
 
     async def tick(self):
-        """Look after the rank, send again what others may have missed."""
-        await self._watch_rank()
+        """Poll the rank, resend messages that peers may have missed, update metrics."""
+        await self._poll_rank()
         is_open = self.member.is_open()
         now = self.node.clock.monotonic()
         if not is_open:
             self._open_since = None
         elif self._open_since is None:
             self._open_since = now
-        is_due = is_open and now - self._open_since > QUERY_AFTER_S
-        await self.act(self.member.tick, is_query_due=is_due)
+        is_due = is_open and now - self._open_since > OUTCOME_QUERY_DELAY_S
+        await self.call_member(self.member.tick, is_query_due=is_due)
         self.notify_entries()
-        if self.node.is_leaving or self.state_by_rank:
+        if self.node.is_leaving or self.peer_state_by_rank:
             self.notify_peers()
         metrics.update(self)
 
-    async def _watch_rank(self):
+    async def _poll_rank(self):
         try:
             state = await self.orders.state()
         except MagnoliagradeError:
             return
-        self._note_step(state.begun)
+        self._record_step(state.begun)
         boot_id, self.rank_boot_id = self.rank_boot_id, state.boot_id
         if not boot_id:
-            await self.act(self.member.start)
+            await self.call_member(self.member.start)
         elif boot_id != state.boot_id:
             log_event(_log, "group.rank_restarted", boot_id=state.boot_id)
-            await self.act(self.member.restart_rank)
+            await self.call_member(self.member.restart_rank)
 
-    def _note_step(self, step):
+    def _record_step(self, step):
         now = self.node.clock.monotonic()
         if step > self.step:
             self.step_s = (now - self._step_at) / (step - self.step)
         self.step, self._step_at = step, now
 
     def choose_step(self):
-        """Return the step to arm a switch for, far enough ahead to hold no rank."""
-        lead = math.ceil(LEAD_S / max(self.step_s, LEAST_STEP_S))
-        return self.step + max(LEAST_LEAD_STEPS, lead)
+        """Return the step for a new switch, far enough ahead that no rank is held."""
+        lead = math.ceil(SWITCH_LEAD_S / max(self.step_s, MIN_STEP_S))
+        return self.step + max(MIN_LEAD_STEPS, lead)
 
     def version_in_force(self):
-        """Return the version of the map that the newest begun step used."""
-        return self.member.knowledge.version_at(self.step)
+        """Return the version of the map that the newest begun step uses."""
+        return self.member.view.version_at(self.step)
 
     def map_in_force(self):
-        """Return the packed map that the newest begun step used."""
-        return self.member.knowledge.map_by_version[self.version_in_force()]
+        """Return the packed map that the newest begun step uses."""
+        return self.member.view.map_by_version[self.version_in_force()]
 
-    def record_behind(self):
-        """Return whether the store's record may lack the map in force."""
+    def is_record_stale(self):
+        """Return whether the store's record may not contain the map in force."""
         return self.recorded_version != self.version_in_force()
 
-    def verdict(self, coordinator):
-        """Return whether a switch was committed; None while that is open."""
+    def switch_result(self, coordinator):
+        """Return whether a switch was committed; None until that is known.
+
+        A switch of an earlier generation counts as not committed.
+        """
         member = self.member
         if coordinator.generation != member.generation:
             return False
-        place = (coordinator.version, coordinator.step)
-        outcome = member.outcome_by_switch.get(place)
+        switch_key = (coordinator.version, coordinator.step)
+        outcome = member.outcome_by_switch.get(switch_key)
         if outcome is None or member.is_open():
             return None
         return outcome is Outcome.COMMITTED
 
     async def read_counts(self):
-        """Return the rank's counts since the last time, or None if it is silent."""
+        """Return the rank's counts since the last call, or None if the rank failed."""
         try:
             counts = await self.orders.counts()
         except MagnoliagradeError:
@@ -248,18 +262,18 @@
             seconds=counts.seconds,
         )
 
-    def note_coordinator(self, fence):
-        """Note a sign of life of the coordinator, and its fencing number."""
+    def record_coordinator(self, fence):
+        """Record that the coordinator is alive, and its fencing token."""
         self.member.fence = max(self.member.fence, fence)
-        self.coordinator_heard_at = self.node.clock.monotonic()
+        self.coordinator_seen_at = self.node.clock.monotonic()
 
-    def take_counts(self, message):
-        """Take a rank's counts into the balance that this coordinator keeps."""
+    def add_counts(self, message):
+        """Add a rank's counts to the load statistics of this coordinator."""
         if self.member.is_running:
             self.balance.add(message, unpack_placement(self.map_in_force()))
 
     async def keep_peer_links(self):
-        """Dial the agents of all higher ranks and keep linked to them."""
+        """Keep a link to the agent of each higher rank; reconnect if it breaks."""
         node = self.node
         dials = [
             keep_linked(
@@ -277,11 +291,11 @@
         await asyncio.gather(*dials)
 
     def on_link_up(self, link):
-        """Introduce this rank to a peer's agent, its state to an entry."""
+        """Send the group's state to a new entry, or a join message to a new peer."""
         if link.hello.role == Role.ENTRY.value:
             link.send(self._state())
         elif link.hello.group == self.group:
-            self.state_by_rank.pop(link.hello.rank, None)
+            self.peer_state_by_rank.pop(link.hello.rank, None)
             member = self.member
             join = GenerationJoin(
                 group=self.group,
@@ -292,16 +306,16 @@
             link.send(join)
 
     def notify_entries(self):
-        """Notify every entry whether the group can take requests, if that changed."""
+        """Send the group's state to every entry if the state has changed."""
         state = self._state()
-        if state == self._told_state:
+        if state == self._notified_state:
             return
-        self._told_state = state
+        self._notified_state = state
         for link in self.node.links.of_role(Role.ENTRY):
             link.send(state)
 
     def notify_peers(self):
-        """Notify the agents of the other ranks of what is in flight here."""
+        """Send requests in flight and whether this agent is leaving to all peers."""
         state = self._state()
         state.requests_in_flight = len(self._requests)
         state.is_leaving = self.node.is_leaving
@@ -309,25 +323,26 @@
             if rank != self.member.rank:
                 self.send(rank, state)
 
-    def note_peer_state(self, message):
-        """Note that a peer leaves, or what it still has in flight meanwhile."""
+    def record_peer_state(self, message):
+        """Record a peer's state while that peer or this agent is leaving."""
         if message.is_leaving or self.node.is_leaving:
-            self.state_by_rank[message.rank] = message
+            self.peer_state_by_rank[message.rank] = message
         else:
-            self.state_by_rank.pop(message.rank, None)
+            self.peer_state_by_rank.pop(message.rank, None)
 
     def count_in_flight(self):
-        """Return the requests that need this rank, on all ranks.
+        """Return the number of requests in flight, on all ranks, that need this rank.
 
         Notes
         -----
-        Ranks run in lock-step: if this one ends, the requests of all others break
-        off. A linked peer that has not said anything yet counts as one request.
+        Ranks run in lock-step: if this rank stops, the requests of all other ranks are
+        cut off. A linked peer that has not reported its state yet counts as one
+        request.
         """
         count = len(self._requests)
         for rank in set(range(self.member.ranks)) - {self.member.rank}:
             if self.link_of(rank) is not None:
-                state = self.state_by_rank.get(rank)
+                state = self.peer_state_by_rank.get(rank)
                 count += 1 if state is None else state.requests_in_flight
         return count
 
@@ -338,18 +353,18 @@
             rank=member.rank,
             generation=member.generation,
             is_complete=self.is_complete,
-            map_version=member.knowledge.version_at(self.step),
+            map_version=member.view.version_at(self.step),
         )
 
     @contextlib.contextmanager
     def serving(self):
-        """Return a context in which a request is served by the group.
+        """Return a context manager in which the group serves a request.
 
         Raises
         ------
         MagnoliagradeError
-            `NOT_RUN` before the request has begun if the group is not complete,
-            `ANSWER_BROKEN` if a new generation begins while it runs.
+            `NOT_RUN` if the group is not complete; the request has not begun.
+            `ANSWER_BROKEN` if a new generation begins while the request runs.
         """
         if not self.is_complete:
             detail = f"group {self.group} is not complete"
@@ -362,12 +377,12 @@
             if task in self._requests:
                 raise
             task.uncancel()
-            detail = f"group {self.group} began a new generation"
+            detail = f"group {self.group} began a new generation during the request"
             raise MagnoliagradeError(ErrorKind.ANSWER_BROKEN, detail) from exc
         finally:
             self._requests.discard(task)
 
-    def _break_requests(self):
+    def _cancel_requests(self):
         requests, self._requests = self._requests, set()
         for task in requests:
             task.cancel()
@@ -376,12 +391,13 @@
 
 
 def new_group_incarnation(clock, rng):
-    """Return a number that is higher than those of earlier starts of a rank.
+    """Return the incarnation for a new start of a rank, higher than earlier ones.
 
     Notes
     -----
-    Milliseconds of the wall clock and random bits. A clock that has gone back only
-    costs a round trip: peers tell the highest number that they know.
+    The number consists of the wall clock's milliseconds and 20 random bits. A clock
+    that was set back costs only a round trip, since peers reply with the highest
+    incarnation that they know.
     """
     milliseconds = int(clock.now().timestamp() * 1000)
     return (milliseconds << 20) | rng.getrandbits(20)
