--- a/packages/magnoliagrade-agent/magnoliagrade_agent/direct/rank_directory.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/direct/rank_directory.py
@@ -6,7 +6,7 @@
 from magnoliagrade.errors import MagnoliagradeError
 from magnoliagrade.observability import log_event
 from magnoliagrade.platform import RankServer, list_endpoints
-from magnoliagrade.wire import keep_linked
+from magnoliagrade.wire import maintain_link
 
 from magnoliagrade_agent.direct.member import RankMember
 from magnoliagrade_agent.direct.ports import LinkPort, RankUnreachable
@@ -128,7 +128,7 @@
         )
         remote = RankMember(server=server, clock=node.clock, read_lag_s=REMOTE_LAG_S)
         port = LinkPort(name=server_address, remote=remote, server=server)
-        dialling = keep_linked(
+        dialling = maintain_link(
             address=f"{host}:{link_port}",
             make_link=node.make_link,
             hello=node.hello,
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/door.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/door.py
@@ -85,7 +85,7 @@
         await _admit_and_follow(node, request, headers, sink)
         return
     node.attempts.check(headers[names.ATTEMPT])
-    sink.ignores_lost_reader = True
+    sink.ignores_disconnect = True
 
     async def serve(recording):
         await _admit_and_follow(node, request, headers, recording)
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/group/service.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/group/service.py
@@ -13,7 +13,7 @@
     GenerationJoin,
     GroupState,
     StageAck,
-    keep_linked,
+    maintain_link,
 )
 from magnoliagrade.world import Role
 
@@ -262,7 +262,7 @@
         """Dial the agents of all higher ranks and keep linked to them."""
         node = self.node
         dials = [
-            keep_linked(
+            maintain_link(
                 address=address,
                 make_link=node.make_link,
                 hello=node.hello,
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/direct/peers.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/direct/peers.py
@@ -13,7 +13,7 @@
     Link,
     ServiceOutage,
     WorkInFlight,
-    keep_linked,
+    maintain_link,
     serve_links,
 )
 
@@ -121,7 +121,7 @@
 
     def _dial(self, name, address):
         node = self._node
-        return keep_linked(
+        return maintain_link(
             address=address,
             make_link=self._make_link,
             hello=self._hello,
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/direct/upstream.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/direct/upstream.py
@@ -176,7 +176,7 @@
             url,
             data=request.body,
             headers=headers,
-            connect_s=CONNECT_TIMEOUT_S,
+            connect_timeout_s=CONNECT_TIMEOUT_S,
         )
     except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as exc:
         raise AttemptFailed(
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/doors.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/doors.py
@@ -165,7 +165,7 @@
     if request.repeatable:
         await serve(request, sink)
         return
-    sink.ignores_lost_reader = True
+    sink.ignores_disconnect = True
 
     work = _error_of(node, _serve_recorded(node, request, sink, serve))
     task = node.tasks.start(work, name=f"order {request.id}")
@@ -205,7 +205,7 @@
             finally:
                 node.admission.release(request)
         finally:
-            node.body_budget.give_back(len(request.body))
+            node.body_budget.release(len(request.body))
 
     return serve
 
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/membership/keeper.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/membership/keeper.py
@@ -2,7 +2,7 @@
 
 import random
 
-from magnoliagrade.wire import keep_linked
+from magnoliagrade.wire import maintain_link
 from magnoliagrade.world import Role
 from prometheus_client import Counter
 
@@ -75,7 +75,7 @@
 
     async def _keep(self, name, address):
         node = self._node
-        await keep_linked(
+        await maintain_link(
             address=address,
             expected=name,
             make_link=node.make_link,
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/requests/arrival.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/requests/arrival.py
@@ -74,7 +74,7 @@
             http_request, body, request_id, organisation, configuration, clock
         )
     except MagnoliagradeError:
-        budget.give_back(len(body))
+        budget.release(len(body))
         raise
 
 
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/requests/attempt.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/requests/attempt.py
@@ -4,7 +4,7 @@
 
 import aiohttp
 from magnoliagrade.errors import ErrorKind, MagnoliagradeError, Ran
-from magnoliagrade.http import EventCutter, send_once, write_request_headers
+from magnoliagrade.http import EventSplitter, send_once, write_request_headers
 from magnoliagrade.http import headers as names
 from magnoliagrade.observability import get_tracer, inject_context
 
@@ -98,7 +98,7 @@
             url,
             data=request.body or None,
             headers=headers,
-            stall_s=STALL_LIMIT_S if request.streaming else None,
+            read_timeout_s=STALL_LIMIT_S if request.streaming else None,
         )
     except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as exc:
         raise AttemptFailed(ErrorKind.NOT_RUN, str(exc), ran=Ran.NO) from exc
@@ -148,17 +148,17 @@
 
 
 async def _copy_events(response, sink):
-    cutter = EventCutter()
+    splitter = EventSplitter()
     if not sink.has_started:
         await sink.start(response.status, response.headers)
     async for part in _parts(response, sink):
         try:
-            events = cutter.feed(part)
+            events = splitter.feed(part)
         except ValueError as exc:
             raise _broken(str(exc), sink) from exc
         if events.data:
             await sink.write(events.data, tokens=events.tokens)
-        if events.is_end:
+        if events.is_stream_end:
             await sink.finish()
             return
     raise _broken("stream ended without its end event", sink)
--- a/packages/magnoliagrade/magnoliagrade/http/__init__.py
+++ b/packages/magnoliagrade/magnoliagrade/http/__init__.py
@@ -2,7 +2,7 @@
 
 from magnoliagrade.http.bodies import BodyBudget, read_body
 from magnoliagrade.http.client import send_once
-from magnoliagrade.http.events import EventCutter, WholeEvents
+from magnoliagrade.http.events import CompleteEvents, EventSplitter
 from magnoliagrade.http.headers import (
     check_incarnation,
     end_to_end_headers,
@@ -14,23 +14,23 @@
 from magnoliagrade.http.server import (
     ListenerLimits,
     change_limits,
-    coded_errors,
     listen,
     log_rejection,
+    problem_details_middleware,
     start_listener,
 )
 
 __all__ = [
     "BodyBudget",
-    "EventCutter",
+    "EventSplitter",
     "ListenerLimits",
     "RecordedResponse",
     "RecordingSink",
     "ResponseSink",
-    "WholeEvents",
+    "CompleteEvents",
     "change_limits",
     "check_incarnation",
-    "coded_errors",
+    "problem_details_middleware",
     "end_to_end_headers",
     "error_response",
     "listen",
--- a/packages/magnoliagrade/magnoliagrade/http/bodies.py
+++ b/packages/magnoliagrade/magnoliagrade/http/bodies.py
@@ -23,7 +23,7 @@
     --------
     >>> budget = BodyBudget(limit_bytes=10)
     >>> budget.take(10)
-    >>> budget.give_back(4)
+    >>> budget.release(4)
     >>> budget.held_bytes
     6
     """
@@ -47,7 +47,7 @@
             raise MagnoliagradeError(ErrorKind.OVERLOADED, detail, retry_after=1)
         self.held_bytes += size
 
-    def give_back(self, size):
+    def release(self, size):
         """Count bytes as free again."""
         self.held_bytes -= size
 
@@ -89,7 +89,7 @@
                 size += len(part)
                 parts.append(part)
     except BaseException as exc:
-        budget.give_back(size)
+        budget.release(size)
         raise _coded(exc, timeout_s) from exc
     return b"".join(parts)
 
--- a/packages/magnoliagrade/magnoliagrade/http/client.py
+++ b/packages/magnoliagrade/magnoliagrade/http/client.py
@@ -16,8 +16,8 @@
     *,
     data,
     headers,
-    stall_s=None,
-    connect_s=CONNECT_TIMEOUT_S,
+    read_timeout_s=None,
+    connect_timeout_s=CONNECT_TIMEOUT_S,
 ):
     """Send a request and return the open response.
 
@@ -33,9 +33,9 @@
         Body.
     headers : dict of str to str
         Headers.
-    stall_s : float, optional
+    read_timeout_s : float, optional
         Longest time without a byte of the answer.
-    connect_s : float
+    connect_timeout_s : float
         Longest time until the connection stands.
 
     Returns
@@ -63,7 +63,9 @@
         headers=headers,
         skip_auto_headers=_LIBRARY_HEADERS,
         allow_redirects=False,
-        timeout=aiohttp.ClientTimeout(total=None, connect=connect_s, sock_read=stall_s),
+        timeout=aiohttp.ClientTimeout(
+            total=None, connect=connect_timeout_s, sock_read=read_timeout_s
+        ),
         middlewares=(reject_second_send(),),
     )
 
--- a/packages/magnoliagrade/magnoliagrade/http/events.py
+++ b/packages/magnoliagrade/magnoliagrade/http/events.py
@@ -3,7 +3,7 @@
 import re
 from dataclasses import dataclass
 
-__all__ = ["EventCutter", "WholeEvents"]
+__all__ = ["EventSplitter", "CompleteEvents"]
 
 EVENT_LIMIT_BYTES = 1024 * 1024
 _BOUNDARY = re.compile(rb"\r?\n\r?\n")
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class WholeEvents:
+class CompleteEvents:
     """Events that are complete and may be passed on.
 
     Parameters
@@ -20,24 +20,24 @@
         The events as they came.
     tokens : int
         Events that carry a token.
-    is_end : bool
+    is_stream_end : bool
         Whether the last one is the explicit end of the stream.
     """
 
     data: bytes
     tokens: int
-    is_end: bool
+    is_stream_end: bool
 
 
-class EventCutter:
+class EventSplitter:
     r"""Holds back the part of a stream that is no whole event yet.
 
     Examples
     --------
-    >>> cutter = EventCutter()
+    >>> cutter = EventSplitter()
     >>> cutter.feed(b"data: a\n\ndata: [DO").data
     b'data: a\n\n'
-    >>> cutter.feed(b"NE]\n\nlate").is_end
+    >>> cutter.feed(b"NE]\n\nlate").is_stream_end
     True
 
     Notes
@@ -67,19 +67,19 @@
         self._rest += data
         whole = 0
         tokens = 0
-        is_end = False
+        is_stream_end = False
         for boundary in _BOUNDARY.finditer(self._rest):
             event = self._rest[whole : boundary.start()]
             whole = boundary.end()
             payload = _payload(event)
             if payload == _END:
-                is_end = True
+                is_stream_end = True
                 break
             tokens += payload is not None
         passed, self._rest = self._rest[:whole], self._rest[whole:]
         if len(self._rest) > EVENT_LIMIT_BYTES:
             raise ValueError(f"event of {len(self._rest)} bytes has no end")
-        return WholeEvents(data=passed, tokens=tokens, is_end=is_end)
+        return CompleteEvents(data=passed, tokens=tokens, is_stream_end=is_stream_end)
 
 
 def _payload(event):
--- a/packages/magnoliagrade/magnoliagrade/http/responses.py
+++ b/packages/magnoliagrade/magnoliagrade/http/responses.py
@@ -26,7 +26,7 @@
     Notes
     -----
     `tokens_written` starts above 0 where the caller has tokens of another attempt.
-    `ignores_lost_reader` is set for requests that go on to their end when nobody
+    `ignores_disconnect` is set for requests that go on to their end when nobody
     waits for the response any more.
     """
 
@@ -35,7 +35,7 @@
         "added_headers",
         "bytes_written",
         "closes_connection",
-        "ignores_lost_reader",
+        "ignores_disconnect",
         "is_event_stream",
         "response",
         "tokens_written",
@@ -47,7 +47,7 @@
         self.closes_connection = closes_connection
         self.response = None
         self.bytes_written = 0
-        self.ignores_lost_reader = False
+        self.ignores_disconnect = False
         self.is_event_stream = False
         self.tokens_written = 0
 
@@ -107,7 +107,7 @@
             transport.abort()
 
     def _lost_reader_ignored(self):
-        if self.ignores_lost_reader:
+        if self.ignores_disconnect:
             return contextlib.suppress(ConnectionError)
         return contextlib.nullcontext()
 
--- a/packages/magnoliagrade/magnoliagrade/http/server.py
+++ b/packages/magnoliagrade/magnoliagrade/http/server.py
@@ -16,7 +16,7 @@
 __all__ = [
     "ListenerLimits",
     "change_limits",
-    "coded_errors",
+    "problem_details_middleware",
     "listen",
     "log_rejection",
     "start_listener",
@@ -158,7 +158,7 @@
 
 
 @web.middleware
-async def coded_errors(request, handler):
+async def problem_details_middleware(request, handler):
     """Answer errors of an application's router from the error table."""
     try:
         return await handler(request)
--- a/packages/magnoliagrade/magnoliagrade/http/tests/test_events.py
+++ b/packages/magnoliagrade/magnoliagrade/http/tests/test_events.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from magnoliagrade.http import EventCutter
+from magnoliagrade.http import EventSplitter
 
 STREAM = b"data: 1\n\n: note\n\ndata: 2\r\n\r\ndata: [DONE]\n\ndata: late\n\n"
 WHOLE = STREAM[: STREAM.index(b"data: late")]
@@ -14,19 +14,19 @@
 @given(st.lists(st.integers(0, len(STREAM)), max_size=8))
 def test_any_chunking_passes_the_same_whole_events(cuts):
     bounds = [0, *sorted(cuts), len(STREAM)]
-    cutter = EventCutter()
+    splitter = EventSplitter()
     passed = []
     for start, end in zip(bounds, bounds[1:], strict=False):
-        events = cutter.feed(STREAM[start:end])
+        events = splitter.feed(STREAM[start:end])
         passed.append(events)
-        if events.is_end:
+        if events.is_stream_end:
             break
     assert b"".join(e.data for e in passed) == WHOLE
     assert sum(e.tokens for e in passed) == 2
-    assert passed[-1].is_end
+    assert passed[-1].is_stream_end
 
 
 def test_partial_event_is_held_back():
     event = json.dumps({"text": "linen"}).encode()
-    held = EventCutter().feed(b"data: " + event)
-    assert (held.data, held.tokens, held.is_end) == (b"", 0, False)
+    held = EventSplitter().feed(b"data: " + event)
+    assert (held.data, held.tokens, held.is_stream_end) == (b"", 0, False)
--- a/packages/magnoliagrade/magnoliagrade/node/admin.py
+++ b/packages/magnoliagrade/magnoliagrade/node/admin.py
@@ -2,7 +2,7 @@
 
 from aiohttp import web
 
-from magnoliagrade.http import coded_errors
+from magnoliagrade.http import problem_details_middleware
 from magnoliagrade.observability import serve_metrics_text
 
 __all__ = ["make_admin_app"]
@@ -34,7 +34,7 @@
             {"ready": not reasons, "reasons": reasons}, status=status
         )
 
-    app = web.Application(middlewares=[coded_errors])
+    app = web.Application(middlewares=[problem_details_middleware])
     app.router.add_get("/healthz", healthz)
     app.router.add_get("/readyz", readyz)
     app.router.add_get("/metrics", serve_metrics_text)
--- a/packages/magnoliagrade/magnoliagrade/node/links.py
+++ b/packages/magnoliagrade/magnoliagrade/node/links.py
@@ -152,9 +152,9 @@
                 log_event(_log, "link.silent", peer=link.peer_instance)
                 link.close()
                 continue
-            if not link.take_has_sent():
+            if not link.consume_sent_flag():
                 link.send(Heartbeat(echo_sequence=link.last_sequence_in))
-                link.take_has_sent()
+                link.consume_sent_flag()
 
 
 def _note_revision(node, link):
--- a/packages/magnoliagrade/magnoliagrade/wire/__init__.py
+++ b/packages/magnoliagrade/magnoliagrade/wire/__init__.py
@@ -16,7 +16,7 @@
     StatusPull,
     StatusReport,
 )
-from magnoliagrade.wire.connect import keep_linked, serve_links
+from magnoliagrade.wire.connect import maintain_link, serve_links
 from magnoliagrade.wire.group import (
     ArmAck,
     ArmSwitch,
@@ -107,6 +107,6 @@
     "UsageReport",
     "decode",
     "encode",
-    "keep_linked",
+    "maintain_link",
     "serve_links",
 ]
--- a/packages/magnoliagrade/magnoliagrade/wire/connect.py
+++ b/packages/magnoliagrade/magnoliagrade/wire/connect.py
@@ -8,7 +8,7 @@
 from magnoliagrade.observability.logs import log_event
 from magnoliagrade.wire.membership import PROTOCOL_VERSION, Hello
 
-__all__ = ["keep_linked", "next_pause", "serve_links"]
+__all__ = ["maintain_link", "next_pause", "serve_links"]
 
 BACKOFF_FIRST_S = 0.1
 BACKOFF_MAX_S = 5.0
@@ -49,7 +49,7 @@
     return await asyncio.start_server(on_connection, host, port)
 
 
-async def keep_linked(
+async def maintain_link(
     *,
     address,
     make_link,
--- a/packages/magnoliagrade/magnoliagrade/wire/link.py
+++ b/packages/magnoliagrade/magnoliagrade/wire/link.py
@@ -56,7 +56,7 @@
         "_sequence",
         "_writer",
         "counters",
-        "has_sent",
+        "has_sent_since_check",
         "hello",
         "is_dialled",
         "last_sequence_in",
@@ -76,7 +76,7 @@
         self.counters = counters or LinkCounters()
         self.hello = None
         self.is_dialled = is_dialled
-        self.has_sent = False
+        self.has_sent_since_check = False
         self.peer_instance = ""
         self.peer_incarnation = 0
         self.peer_revision = 0
@@ -96,7 +96,7 @@
             # The other side does not read; a new link starts from scratch.
             self._writer.transport.abort()
             return
-        self.has_sent = True
+        self.has_sent_since_check = True
         self._sequence += 1
         data = encode(
             Envelope(
@@ -148,11 +148,11 @@
         self.last_sequence_in = envelope.sequence
         return envelope.message
 
-    def take_has_sent(self):
+    def consume_sent_flag(self):
         """Return whether anything was sent since this was last asked."""
-        has_sent = self.has_sent
-        self.has_sent = False
-        return has_sent
+        has_sent_since_check = self.has_sent_since_check
+        self.has_sent_since_check = False
+        return has_sent_since_check
 
     @property
     def is_closing(self):
--- a/packages/magnoliagrade/magnoliagrade/wire/tests/test_connect.py
+++ b/packages/magnoliagrade/magnoliagrade/wire/tests/test_connect.py
@@ -3,7 +3,7 @@
 
 from magnoliagrade.clock import SystemClock
 from magnoliagrade.identity import InstanceIdentity
-from magnoliagrade.wire import Heartbeat, Hello, Link, keep_linked, serve_links
+from magnoliagrade.wire import Heartbeat, Hello, Link, maintain_link, serve_links
 from magnoliagrade.wire.connect import BACKOFF_FIRST_S, BACKOFF_MAX_S, next_pause
 
 
@@ -74,7 +74,7 @@
 
         def dial(expected):
             return asyncio.create_task(
-                keep_linked(
+                maintain_link(
                     address=address,
                     make_link=_make_link("a"),
                     hello=Hello,
