--- a/packages/magnoliagrade/magnoliagrade/http/__init__.py
+++ b/packages/magnoliagrade/magnoliagrade/http/__init__.py
@@ -1,4 +1,4 @@
-"""Headers and responses shared by the HTTP hops."""
+"""HTTP listeners, clients, headers and bodies that all processes share."""
 
 from magnoliagrade.http.bodies import BodyBudget, read_body
 from magnoliagrade.http.client import send_once
@@ -22,19 +22,19 @@
 
 __all__ = [
     "BodyBudget",
+    "CompleteEvents",
     "EventSplitter",
     "ListenerLimits",
     "RecordedResponse",
     "RecordingSink",
     "ResponseSink",
-    "CompleteEvents",
     "change_limits",
     "check_incarnation",
-    "problem_details_middleware",
     "end_to_end_headers",
     "error_response",
     "listen",
     "log_rejection",
+    "problem_details_middleware",
     "read_body",
     "read_request_headers",
     "send_once",
--- a/packages/magnoliagrade/magnoliagrade/http/bodies.py
+++ b/packages/magnoliagrade/magnoliagrade/http/bodies.py
@@ -1,4 +1,4 @@
-"""Reading bodies within limits of size, time and memory."""
+"""Reading of request bodies within limits of size, time and memory."""
 
 import asyncio
 
@@ -12,12 +12,12 @@
 
 
 class BodyBudget:
-    """Memory that the bodies of all requests of a process may take together.
+    """Limit on the memory that the bodies of all requests of a process take together.
 
     Parameters
     ----------
     limit_bytes : int
-        Most bytes at any time.
+        Largest sum of bytes held at any time.
 
     Examples
     --------
@@ -35,78 +35,81 @@
         self.held_bytes = 0
 
     def take(self, size):
-        """Count bytes as held.
+        """Reserve a number of bytes of the budget.
 
         Raises
         ------
         MagnoliagradeError
-            `OVERLOADED` if that would exceed the limit.
+            `OVERLOADED` if the limit would be exceeded.
         """
         if self.held_bytes + size > self.limit_bytes:
-            detail = f"bodies hold {self.held_bytes} of {self.limit_bytes} bytes"
+            detail = (
+                f"no memory for {size} more bytes of request bodies: "
+                f"{self.held_bytes} of {self.limit_bytes} bytes are in use"
+            )
             raise MagnoliagradeError(ErrorKind.OVERLOADED, detail, retry_after=1)
         self.held_bytes += size
 
     def release(self, size):
-        """Count bytes as free again."""
+        """Return a number of reserved bytes to the budget."""
         self.held_bytes -= size
 
 
 async def read_body(http_request, *, limit_bytes, timeout_s, budget):
-    """Return the body of a request; its size stays taken from the budget.
+    """Return the body of a request, whose size stays reserved in the budget.
 
     Parameters
     ----------
     http_request : aiohttp.web.BaseRequest
-        The incoming request.
+        Incoming request.
     limit_bytes : int
-        Largest body.
+        Largest size of the body.
     timeout_s : float
-        Longest time that it may take to arrive.
+        Longest time until the body has arrived completely, in seconds.
     budget : BodyBudget
-        Memory for bodies; the caller gives the size back.
+        Budget that the size is reserved in; the caller releases it.
 
     Raises
     ------
     MagnoliagradeError
-        `TOO_LARGE`, `OVERLOADED`, or `INVALID_REQUEST` for a body that is broken
-        or slow. Nothing is held then.
+        `TOO_LARGE`, `OVERLOADED`, or `INVALID_REQUEST` if the body is malformed or
+        not complete in time. No bytes stay reserved then.
     """
     declared = http_request.content_length or 0
     if declared > limit_bytes:
-        detail = f"body of {declared} bytes exceeds {limit_bytes}"
+        detail = f"body of {declared} bytes exceeds the limit of {limit_bytes}"
         raise MagnoliagradeError(ErrorKind.TOO_LARGE, detail)
     parts = []
     size = 0
     try:
         async with asyncio.timeout(timeout_s):
-            await _say_continue(http_request)
+            await _send_continue(http_request)
             async for part in http_request.content.iter_any():
                 if size + len(part) > limit_bytes:
-                    detail = f"body exceeds {limit_bytes} bytes"
+                    detail = f"body exceeds the limit of {limit_bytes} bytes"
                     raise MagnoliagradeError(ErrorKind.TOO_LARGE, detail)
                 budget.take(len(part))
                 size += len(part)
                 parts.append(part)
     except BaseException as exc:
         budget.release(size)
-        raise _coded(exc, timeout_s) from exc
+        raise _as_coded_error(exc, timeout_s) from exc
     return b"".join(parts)
 
 
-def _coded(exc, timeout_s):
+def _as_coded_error(exc, timeout_s):
     if isinstance(exc, TimeoutError):
-        detail = f"body was not sent within {timeout_s} s"
+        detail = f"body was not received within {timeout_s} s"
         return MagnoliagradeError(ErrorKind.INVALID_REQUEST, detail)
     if isinstance(exc, web.RequestPayloadError):
-        detail = "body is broken: chunks or length do not fit"
+        detail = "body is malformed: invalid chunked encoding or wrong length"
         return MagnoliagradeError(ErrorKind.INVALID_REQUEST, detail)
     return exc
 
 
-async def _say_continue(http_request):
+async def _send_continue(http_request):
     expected = http_request.headers.get("Expect", "").lower()
     if expected == "100-continue" and http_request.version >= HttpVersion11:
         await http_request.writer.write(CONTINUE)
-        # The answer proper has not begun.
+        # The final response has not started: 100 Continue is an interim response.
         http_request.writer.output_size = 0
--- a/packages/magnoliagrade/magnoliagrade/http/client.py
+++ b/packages/magnoliagrade/magnoliagrade/http/client.py
@@ -1,12 +1,12 @@
-"""Sending a request to another process once, whatever the library would do."""
+"""HTTP requests that are sent at most once, without the resends of aiohttp."""
 
 import aiohttp
 
 __all__ = ["CONNECT_TIMEOUT_S", "reject_second_send", "send_once"]
 
 CONNECT_TIMEOUT_S = 2.0
-# Headers that the library adds by itself; requests travel as they came.
-_LIBRARY_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
+# Headers that aiohttp would add; requests are forwarded with the headers received.
+_SKIPPED_AUTO_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 
 
 async def send_once(
@@ -19,49 +19,49 @@
     read_timeout_s=None,
     connect_timeout_s=CONNECT_TIMEOUT_S,
 ):
-    """Send a request and return the open response.
+    """Send a request at most once and return its response, with the body still unread.
 
     Parameters
     ----------
     session : aiohttp.ClientSession
-        Session whose connections are used.
+        Session whose connection pool is used.
     method : str
         HTTP method.
     url : str
-        Where it goes.
+        Absolute URL of the request.
     data : bytes or None
-        Body.
+        Body of the request.
     headers : dict of str to str
-        Headers.
+        Headers of the request.
     read_timeout_s : float, optional
-        Longest time without a byte of the answer.
+        Longest time without a byte of the response; no limit by default.
     connect_timeout_s : float
-        Longest time until the connection stands.
+        Longest time until the connection is established.
 
     Returns
     -------
     response : aiohttp.ClientResponse
-        Status and headers have been read.
+        Response whose status and headers have been read.
 
     Raises
     ------
     aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError
-        If no byte of the request was sent.
+        If the connection failed before any byte of the request was sent.
     aiohttp.ClientError, OSError
-        If the connection was lost later.
+        If the connection was lost after that.
 
     Notes
     -----
-    The library sends an idempotent method again when a kept connection turns out
-    to be closed, and any method again after a redirect. Both could run a request
-    twice: methods say nothing about what a caller marked as not repeatable.
+    aiohttp resends an idempotent method when a keep-alive connection turns out to be
+    closed, and any method after a redirect. Both could run a request twice: the HTTP
+    method doesn't show whether the caller marked the request as not repeatable.
     """
     return await session.request(
         method,
         url,
         data=data,
         headers=headers,
-        skip_auto_headers=_LIBRARY_HEADERS,
+        skip_auto_headers=_SKIPPED_AUTO_HEADERS,
         allow_redirects=False,
         timeout=aiohttp.ClientTimeout(
             total=None, connect=connect_timeout_s, sock_read=read_timeout_s
@@ -71,19 +71,19 @@
 
 
 def reject_second_send():
-    """Return a client middleware that lets one request through, once.
+    """Return a client middleware that sends one request and rejects its resend.
 
     Notes
     -----
-    A write to the store that the library sent again would come back as a conflict
-    with itself.
+    If aiohttp resent a write to the store, the second write would conflict with the
+    first.
     """
     is_sent = False
 
     async def middleware(request, handler):
         nonlocal is_sent
         if is_sent:
-            raise aiohttp.ServerDisconnectedError("the request has been sent before")
+            raise aiohttp.ServerDisconnectedError("the request was already sent once")
         is_sent = True
         return await handler(request)
 
--- a/packages/magnoliagrade/magnoliagrade/http/events.py
+++ b/packages/magnoliagrade/magnoliagrade/http/events.py
@@ -1,27 +1,27 @@
-"""Cutting a stream of server-sent events at event boundaries."""
+"""Splitting of a stream of server-sent events at event boundaries."""
 
 import re
 from dataclasses import dataclass
 
-__all__ = ["EventSplitter", "CompleteEvents"]
+__all__ = ["CompleteEvents", "EventSplitter"]
 
-EVENT_LIMIT_BYTES = 1024 * 1024
+MAX_EVENT_BYTES = 1024 * 1024
 _BOUNDARY = re.compile(rb"\r?\n\r?\n")
-_END = b"[DONE]"
+_END_PAYLOAD = b"[DONE]"
 
 
 @dataclass(slots=True, kw_only=True)
 class CompleteEvents:
-    """Events that are complete and may be passed on.
+    """Complete events, which may be forwarded.
 
     Parameters
     ----------
     data : bytes
-        The events as they came.
+        Bytes of the events as received.
     tokens : int
-        Events that carry a token.
+        Number of events that carry a token.
     is_stream_end : bool
-        Whether the last one is the explicit end of the stream.
+        Whether the last event is the explicit end of the stream.
     """
 
     data: bytes
@@ -30,7 +30,7 @@
 
 
 class EventSplitter:
-    r"""Holds back the part of a stream that is no whole event yet.
+    r"""Splits a stream into complete events and holds back an incomplete one.
 
     Examples
     --------
@@ -42,17 +42,17 @@
 
     Notes
     -----
-    What follows the end event is dropped. An event that is never completed is not
-    passed on, so another endpoint can go on right after the last whole one.
+    Bytes after the end event are dropped. An event that is never completed isn't
+    forwarded, so another endpoint can resume right after the last complete event.
     """
 
-    __slots__ = ("_rest",)
+    __slots__ = ("_incomplete",)
 
     def __init__(self):
-        self._rest = b""
+        self._incomplete = b""
 
     def feed(self, data):
-        """Return the events that are complete now.
+        """Return the events that the next bytes of the stream complete.
 
         Parameters
         ----------
@@ -62,27 +62,33 @@
         Raises
         ------
         ValueError
-            If one event exceeds a megabyte.
+            If more than 1 MiB has come without the end of an event.
         """
-        self._rest += data
-        whole = 0
+        self._incomplete += data
+        complete_bytes = 0
         tokens = 0
         is_stream_end = False
-        for boundary in _BOUNDARY.finditer(self._rest):
-            event = self._rest[whole : boundary.start()]
-            whole = boundary.end()
-            payload = _payload(event)
-            if payload == _END:
+        for boundary in _BOUNDARY.finditer(self._incomplete):
+            event = self._incomplete[complete_bytes : boundary.start()]
+            complete_bytes = boundary.end()
+            payload = _payload_of(event)
+            if payload == _END_PAYLOAD:
                 is_stream_end = True
                 break
             tokens += payload is not None
-        passed, self._rest = self._rest[:whole], self._rest[whole:]
-        if len(self._rest) > EVENT_LIMIT_BYTES:
-            raise ValueError(f"event of {len(self._rest)} bytes has no end")
-        return CompleteEvents(data=passed, tokens=tokens, is_stream_end=is_stream_end)
-
-
-def _payload(event):
+        complete, self._incomplete = (
+            self._incomplete[:complete_bytes],
+            self._incomplete[complete_bytes:],
+        )
+        if len(self._incomplete) > MAX_EVENT_BYTES:
+            raise ValueError(
+                f"event without an end: got {len(self._incomplete)} bytes, "
+                f"limit {MAX_EVENT_BYTES}"
+            )
+        return CompleteEvents(data=complete, tokens=tokens, is_stream_end=is_stream_end)
+
+
+def _payload_of(event):
     lines = [line for line in event.splitlines() if line.startswith(b"data:")]
     if not lines:
         return None
--- a/packages/magnoliagrade/magnoliagrade/http/headers.py
+++ b/packages/magnoliagrade/magnoliagrade/http/headers.py
@@ -1,4 +1,4 @@
-"""Headers of requests between own processes, and which headers travel on."""
+"""Internal headers of requests between processes, and the headers to forward."""
 
 import json
 
@@ -47,33 +47,33 @@
 
 
 def end_to_end_headers(headers, *, drop=_NOT_FORWARDED):
-    """Return the headers that travel on, names in lower case.
+    """Return the end-to-end headers to forward, with names in lower case.
 
     Parameters
     ----------
     headers : mapping of str to str
         Headers as received.
     drop : set of str
-        Names in lower case that end here.
+        Names in lower case that aren't forwarded.
 
     Returns
     -------
     header_by_name : dict of str to str
-        Without hop-by-hop headers, those that `Connection` names, and the
+        The headers without those in `drop`, those that `Connection` lists, and the
         internal ones.
     """
-    named = {h.strip().lower() for h in headers.get("Connection", "").split(",")}
+    listed = {h.strip().lower() for h in headers.get("Connection", "").split(",")}
     kept = {}
     for name, value in headers.items():
         lower = name.lower()
-        if lower in drop or lower in named or lower.startswith(PREFIX):
+        if lower in drop or lower in listed or lower.startswith(PREFIX):
             continue
         kept[lower] = value
     return kept
 
 
 def check_incarnation(headers, *, incarnation):
-    """Refuse a request that is meant for another incarnation of this process.
+    """Reject a request that is addressed to another incarnation of this process.
 
     Parameters
     ----------
@@ -85,31 +85,35 @@
     Raises
     ------
     MagnoliagradeError
-        `NOT_RUN` if the request names another one, `INVALID_REQUEST` if none.
+        `NOT_RUN` if the request is addressed to another incarnation,
+        `INVALID_REQUEST` if the header is missing.
 
     Notes
     -----
-    A process that restarted has lost its books, so a copy that was withdrawn from
-    its predecessor must not start here.
+    A restarted process has lost its tables of attempts. Without this check, an
+    attempt that was revoked at the previous incarnation could start here.
     """
-    named = headers.get(INCARNATION)
-    if named is None:
+    requested = headers.get(INCARNATION)
+    if requested is None:
         detail = f"internal request header {INCARNATION} is missing"
         raise MagnoliagradeError(ErrorKind.INVALID_REQUEST, detail)
-    if named != f"{incarnation:016x}":
-        detail = f"meant for incarnation {named!r}, this is {incarnation:016x}"
+    if requested != f"{incarnation:016x}":
+        detail = (
+            f"request is addressed to incarnation {requested!r}; this process is "
+            f"incarnation {incarnation:016x}"
+        )
         raise MagnoliagradeError(ErrorKind.NOT_RUN, detail, retry_after=1)
 
 
 def write_request_headers(
     request, *, attempt, entry, incarnation, now, forwarded_from="", resume_tokens=0
 ):
-    """Return the headers that carry a request to an agent or a peer entry.
+    """Return the headers of a request to an agent or a peer entry.
 
     Parameters
     ----------
     request : Request
-        The request.
+        Request to send.
     attempt : str
         Id of this attempt.
     entry : str
@@ -117,18 +121,19 @@
     incarnation : int
         Incarnation of the receiver that the request is meant for.
     now : float
-        Monotonic time here, so that the deadline travels as time left.
+        Monotonic time of this process in seconds; the deadline is sent as the time
+        left.
     forwarded_from : str
-        Data centre of this entry if the receiver is a peer entry.
+        Data centre of this entry if the receiver is a peer entry, else empty.
     resume_tokens : int
-        Tokens that the caller has already; the stream goes on after them.
+        Number of tokens that the caller already has; the stream resumes after them.
 
     Returns
     -------
     header_by_name : dict of str to str
         End-to-end and internal headers.
     """
-    carried = {
+    fields = {
         "id": request.id,
         "organisation": request.organisation,
         "application": request.application,
@@ -149,12 +154,12 @@
     header_by_name[INCARNATION] = f"{incarnation:016x}"
     if resume_tokens:
         header_by_name[RESUME_TOKENS] = str(resume_tokens)
-    header_by_name[_REQUEST] = _as_header(carried)
+    header_by_name[_REQUEST] = _as_header_value(fields)
     return header_by_name
 
 
 def read_request_headers(headers, *, method, path, body, now):
-    """Return the request that another own process sent.
+    """Return the request that another process of this system sent.
 
     Parameters
     ----------
@@ -163,16 +168,16 @@
     method : str
         HTTP method.
     path : str
-        Path with query string.
+        Path with its query string.
     body : bytes
-        Body.
+        Body of the request.
     now : float
-        Monotonic time here.
+        Monotonic time of this process in seconds.
 
     Returns
     -------
     request : Request
-        The request with its deadline on this process's clock.
+        The request, with its deadline on the clock of this process.
 
     Raises
     ------
@@ -181,34 +186,34 @@
     """
     try:
         _check_attempt_headers(headers)
-        carried = json.loads(headers[_REQUEST])
+        fields = json.loads(headers[_REQUEST])
         return Request(
-            id=carried["id"],
-            organisation=carried["organisation"],
-            application=carried["application"],
+            id=fields["id"],
+            organisation=fields["organisation"],
+            application=fields["application"],
             method=method,
             path=path,
             header_by_name=end_to_end_headers(headers),
             body=body,
-            labels=carried["labels"],
-            repeatable=carried["repeatable"],
-            streaming=carried["streaming"],
-            idempotency_key=carried["key"],
-            priority=carried["priority"],
-            deadline=now + carried["left_s"],
-            prompt_tokens=carried["prompt_tokens"],
-            output_tokens=carried["output_tokens"],
-            prefix_hash=carried["prefix_hash"],
-            forwarded_from=carried["forwarded_from"],
+            labels=fields["labels"],
+            repeatable=fields["repeatable"],
+            streaming=fields["streaming"],
+            idempotency_key=fields["key"],
+            priority=fields["priority"],
+            deadline=now + fields["left_s"],
+            prompt_tokens=fields["prompt_tokens"],
+            output_tokens=fields["output_tokens"],
+            prefix_hash=fields["prefix_hash"],
+            forwarded_from=fields["forwarded_from"],
             forwarded_attempt=headers[ATTEMPT],
         )
     except (KeyError, ValueError, TypeError) as exc:
-        detail = f"internal request headers cannot be read: {exc!r}"
+        detail = f"internal request headers are malformed: {exc!r}"
         raise MagnoliagradeError(ErrorKind.INVALID_REQUEST, detail) from exc
 
 
 def _check_attempt_headers(headers):
-    """Raise what an absent or malformed header raises, before anything is done."""
+    """Raise KeyError or ValueError if an attempt header is absent or malformed."""
     for name in (ATTEMPT, ENTRY):
         if not headers[name]:
             raise ValueError(f"{name} is empty")
@@ -216,6 +221,6 @@
         raise ValueError(f"{RESUME_TOKENS} is negative")
 
 
-def _as_header(carried):
-    # JSON escapes all control characters but one that headers forbid as well.
-    return json.dumps(carried, separators=(",", ":")).replace("\x7f", "\\u007f")
+def _as_header_value(fields):
+    # JSON escapes all control characters except DEL, which headers forbid too.
+    return json.dumps(fields, separators=(",", ":")).replace("\x7f", "\\u007f")
--- a/packages/magnoliagrade/magnoliagrade/http/responses.py
+++ b/packages/magnoliagrade/magnoliagrade/http/responses.py
@@ -1,4 +1,4 @@
-"""Responses: the sink that a response is written to, and error responses."""
+"""Writing of responses to a connection, and responses to errors."""
 
 import contextlib
 import math
@@ -21,13 +21,13 @@
     added_headers : dict of str to str
         Headers that this hop adds to the response.
     closes_connection : bool
-        Whether the connection ends with this response.
+        Whether the connection is closed after this response.
 
     Notes
     -----
-    `tokens_written` starts above 0 where the caller has tokens of another attempt.
-    `ignores_disconnect` is set for requests that go on to their end when nobody
-    waits for the response any more.
+    `tokens_written` starts above 0 if the caller already has tokens of an earlier
+    attempt. `ignores_disconnect` is set for requests that run to completion even if
+    the client has disconnected.
     """
 
     __slots__ = (
@@ -53,18 +53,19 @@
 
     @property
     def has_started(self):
-        """Whether status and headers have been sent."""
+        """Whether the status and headers have been sent."""
         return self.response is not None
 
     async def start(self, status, headers):
-        """Send status and headers.
+        """Send the status and headers.
 
         Parameters
         ----------
         status : int
             HTTP status.
         headers : mapping of str to str
-            Headers of the back end's response; internal ones are stripped.
+            Headers of the back end's response; hop-by-hop and internal headers are
+            removed.
         """
         kept = end_to_end_headers(headers)
         kept.update(self.added_headers)
@@ -72,12 +73,12 @@
         response = web.StreamResponse(status=status, headers=kept)
         if length is not None:
             response.content_length = int(length)
-        kind = headers.get("Content-Type", "").partition(";")[0].strip()
-        self.is_event_stream = kind == "text/event-stream"
+        media_type = headers.get("Content-Type", "").partition(";")[0].strip()
+        self.is_event_stream = media_type == "text/event-stream"
         if self.closes_connection:
             response.force_close()
         self.response = response
-        with self._lost_reader_ignored():
+        with self._disconnect_suppressed():
             await response.prepare(self._http_request)
 
     async def write(self, data, *, tokens=0):
@@ -86,59 +87,60 @@
         Parameters
         ----------
         data : bytes
-            The part.
+            Next bytes of the body.
         tokens : int
-            Tokens that it holds.
+            Number of tokens in `data`.
         """
         self.bytes_written += len(data)
         self.tokens_written += tokens
-        with self._lost_reader_ignored():
+        with self._disconnect_suppressed():
             await self.response.write(data)
 
     async def finish(self):
-        """End the response cleanly."""
-        with self._lost_reader_ignored():
+        """End the response, so that the client sees it as complete."""
+        with self._disconnect_suppressed():
             await self.response.write_eof()
 
     def abort(self):
-        """Cut the connection, so that a broken response never looks whole."""
+        """Abort the connection, so that a truncated response never looks complete."""
         transport = self._http_request.transport
         if transport is not None:
             transport.abort()
 
-    def _lost_reader_ignored(self):
+    def _disconnect_suppressed(self):
         if self.ignores_disconnect:
             return contextlib.suppress(ConnectionError)
         return contextlib.nullcontext()
 
 
 def error_response(error, *, request_id="", is_internal=False):
-    """Return the response to an error.
+    """Return the HTTP response to an error, with problem details as its body.
 
     Parameters
     ----------
     error : MagnoliagradeError
-        What went wrong.
+        Error to report.
     request_id : str
-        Id of the request.
+        Id of the request; left out of the headers if empty.
     is_internal : bool
-        Whether the receiver is an own process, which is told the code by header.
+        Whether the receiver is another process of this system; it gets the error's
+        code and whether the request ran in internal headers.
 
     Returns
     -------
     response : aiohttp.web.Response
         Problem details with the status of the error's kind.
     """
-    answer = response_of(error.kind)
+    row = response_of(error.kind)
     headers = {"X-Request-Id": request_id} if request_id else {}
     if error.retry_after is not None:
         headers["Retry-After"] = str(max(1, math.ceil(error.retry_after)))
     if is_internal:
-        headers[RAN] = answer.ran.value
+        headers[RAN] = row.ran.value
         headers[CODE] = error.kind.value
     return web.json_response(
         problem_details(error, request_id=request_id),
-        status=answer.status,
+        status=row.status,
         headers=headers,
         content_type="application/problem+json",
     )
--- a/packages/magnoliagrade/magnoliagrade/http/server.py
+++ b/packages/magnoliagrade/magnoliagrade/http/server.py
@@ -1,4 +1,4 @@
-"""HTTP server of the listeners: each answer of its own comes from the error table."""
+"""HTTP server of the listeners, whose errors are reported as in the error table."""
 
 import asyncio
 import functools
@@ -22,26 +22,27 @@
     "start_listener",
 ]
 
-# How long what a caller still sends is read and dropped after its answer.
-LINGERING_S = 2.0
-BACKLOG_CONNECTIONS = 1024
+# Longest time for which the rest of a request is read and dropped after its response.
+LINGERING_TIME_S = 2.0
+# Connections that the kernel holds until they are accepted.
+LISTEN_BACKLOG_CONNECTIONS = 1024
 _log = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ListenerLimits:
-    """What one connection may ask of a listener.
+    """Limits of a listener on each of its connections.
 
     Parameters
     ----------
     header_bytes : int
-        Longest request line and longest header.
+        Largest size of the request line and of each header.
     body_bytes : int
-        Largest body that a handler may read at once.
+        Largest body that a handler may read into memory.
     header_timeout_s : float
         Longest time from the first byte of a request to the end of its headers.
     idle_timeout_s : float
-        Longest time without a request.
+        Longest time that a connection is kept open without a request.
     """
 
     header_bytes: int = 64 * 1024
@@ -51,35 +52,35 @@
 
 
 async def start_listener(handle, address, *, limits, is_internal=False, listener=None):
-    """Serve a listener and return its runner and bound address.
+    """Start an HTTP listener and return its runner and bound address.
 
     Parameters
     ----------
     handle : coroutine function
-        Takes an `aiohttp.web.BaseRequest` and returns a response.
+        Handler that takes an `aiohttp.web.BaseRequest` and returns a response.
     address : str
-        `host:port`; port 0 takes a free one.
+        `host:port` to listen on; port 0 chooses a free port.
     limits : ListenerLimits
-        What a connection may ask.
+        Limits on each connection.
     is_internal : bool
-        Whether own processes are on the other side.
+        Whether the clients are processes of this system.
     listener : socket.socket, optional
-        Socket that listens on the address already.
+        Socket that is already listening on the address.
 
     Returns
     -------
     runner : aiohttp.web.ServerRunner
-        To be cleaned up when the process stops.
+        Runner, to be cleaned up when the process stops.
     bound : str
-        `host:port` that is listened on.
+        `host:port` that the listener is bound to.
 
     Notes
     -----
-    Bodies stay as they were sent: decompressing them would leave the header
-    `Content-Encoding` wrong for the back end.
+    Request bodies aren't decompressed: the header `Content-Encoding` that is forwarded
+    to the back end would no longer match the body.
     """
     server = _ListenerServer(
-        functools.partial(_answer, handle, is_internal=is_internal),
+        functools.partial(_respond, handle, is_internal=is_internal),
         limits=limits,
         is_internal=is_internal,
     )
@@ -88,14 +89,14 @@
 
 
 def change_limits(runner, limits):
-    """Change the limits of a listener, also of the connections that are open.
+    """Change the limits of a listener, including those of its open connections.
 
     Parameters
     ----------
     runner : aiohttp.web.ServerRunner
         Runner of the listener.
     limits : ListenerLimits
-        What a connection may ask from now on.
+        New limits on each connection.
     """
     server = runner.server
     if server.limits == limits:
@@ -106,46 +107,46 @@
 
 
 async def listen(runner, address, *, listener=None):
-    """Let a runner listen and return the bound address.
+    """Start listening with a runner and return the bound address.
 
     Parameters
     ----------
     runner : aiohttp.web.BaseRunner
-        A runner that is not set up yet.
+        Runner that hasn't been set up yet.
     address : str
-        `host:port`; port 0 takes a free one.
+        `host:port` to listen on; port 0 chooses a free port.
     listener : socket.socket, optional
-        Socket that listens on the address already.
+        Socket that is already listening on the address.
 
     Returns
     -------
     bound : str
-        `host:port` that is listened on.
+        `host:port` that the listener is bound to.
     """
     host, _, port = address.rpartition(":")
     await runner.setup()
     if listener is None:
-        site = web.TCPSite(runner, host, int(port), backlog=BACKLOG_CONNECTIONS)
+        site = web.TCPSite(runner, host, int(port), backlog=LISTEN_BACKLOG_CONNECTIONS)
     else:
-        site = web.SockSite(runner, listener, backlog=BACKLOG_CONNECTIONS)
+        site = web.SockSite(runner, listener, backlog=LISTEN_BACKLOG_CONNECTIONS)
     await site.start()
     bound_host, bound_port = runner.addresses[0][:2]
     return f"{bound_host}:{bound_port}"
 
 
 def log_rejection(logger, error, *, request_id, **fields):
-    """Write the event of a request that was answered with an error.
+    """Log the event of a request that was rejected with an error.
 
     Parameters
     ----------
     logger : logging.Logger
-        Logger of the module.
+        Logger of the calling module.
     error : MagnoliagradeError
-        The error.
+        Error that the response reports.
     request_id : str
         Id of the request.
     **fields
-        Further fields.
+        Further fields of the log line.
     """
     log_event(
         logger,
@@ -159,19 +160,19 @@
 
 @web.middleware
 async def problem_details_middleware(request, handler):
-    """Answer errors of an application's router from the error table."""
+    """Respond to errors of an application's router with problem details."""
     try:
         return await handler(request)
     except web.HTTPException as exc:
-        return error_response(_coded(exc), request_id=new_request_id())
+        return error_response(_as_coded_error(exc), request_id=new_request_id())
 
 
-async def _answer(handle, http_request, *, is_internal):
+async def _respond(handle, http_request, *, is_internal):
     try:
         response = await handle(http_request)
     except (web.HTTPException, web.RequestPayloadError) as exc:
         response = error_response(
-            _coded(exc), request_id=new_request_id(), is_internal=is_internal
+            _as_coded_error(exc), request_id=new_request_id(), is_internal=is_internal
         )
     if not response.prepared:
         response.headers.setdefault("X-Request-Id", new_request_id())
@@ -180,14 +181,14 @@
     return response
 
 
-def _coded(exc):
+def _as_coded_error(exc):
     if isinstance(exc, web.HTTPRequestEntityTooLarge | http_exceptions.LineTooLong):
-        detail = f"request exceeds a limit: {type(exc).__name__}"
+        detail = f"request exceeds a size limit: {type(exc).__name__}"
         return MagnoliagradeError(ErrorKind.TOO_LARGE, detail)
     if isinstance(exc, web.HTTPNotFound):
-        return MagnoliagradeError(ErrorKind.NO_ROUTE, "the path does not exist")
-    # What the parser says of a message would quote headers, and keys with them.
-    detail = f"the message is not valid HTTP: {type(exc).__name__}"
+        return MagnoliagradeError(ErrorKind.NO_ROUTE, "no resource has this path")
+    # The parser's own message may quote headers, and so API keys.
+    detail = f"request is not valid HTTP: {type(exc).__name__}"
     return MagnoliagradeError(ErrorKind.INVALID_REQUEST, detail)
 
 
@@ -228,7 +229,7 @@
             keepalive_timeout=limits.idle_timeout_s,
             max_line_size=limits.header_bytes,
             max_field_size=limits.header_bytes,
-            lingering_time=LINGERING_S,
+            lingering_time=LINGERING_TIME_S,
             auto_decompress=False,
         )
         self._server = server
@@ -241,7 +242,9 @@
             self._header_timer = None
         elif self._header_timer is None and self._is_idle():
             timeout_s = self._server.limits.header_timeout_s
-            self._header_timer = self._loop.call_later(timeout_s, self._end_slow)
+            self._header_timer = self._loop.call_later(
+                timeout_s, self._reject_slow_headers
+            )
 
     def connection_lost(self, exc):
         if self._header_timer is not None:
@@ -250,15 +253,15 @@
 
     def handle_error(self, request, status=500, exc=None, message=None):
         if status >= 500:
-            detail = type(exc).__name__ if exc else "a timeout was not handled"
+            detail = type(exc).__name__ if exc else "unhandled timeout"
             error = MagnoliagradeError(ErrorKind.INTERNAL, detail)
             _log.error("request.failed", exc_info=exc)
         else:
-            error = _coded(exc)
+            error = _as_coded_error(exc)
         request_id = new_request_id()
         log_rejection(_log, error, request_id=request_id)
         if request.writer.output_size > 0:
-            raise ConnectionError("the answer had begun; the connection is cut")
+            raise ConnectionError("response already started; connection is aborted")
         response = error_response(
             error, request_id=request_id, is_internal=self._server.is_internal
         )
@@ -271,16 +274,16 @@
             return self._request_count == 0
         return not self._waiter.done()
 
-    def _end_slow(self):
+    def _reject_slow_headers(self):
         self._header_timer = None
         if self._waiter is None or self._waiter.done():
             return
         timeout_s = self._server.limits.header_timeout_s
-        exc = _SlowHeaders(f"headers were not sent within {timeout_s} s")
+        exc = _HeaderTimeout(f"headers were not received within {timeout_s} s")
         info = _ErrInfo(status=400, exc=exc, message=str(exc))
         self._messages.append((info, EMPTY_PAYLOAD))
         self._waiter.set_result(None)
 
 
-class _SlowHeaders(Exception):
-    """The headers of a request did not come in time."""
+class _HeaderTimeout(Exception):
+    """The headers of a request were not complete within the time limit."""
--- a/packages/magnoliagrade/magnoliagrade/http/tests/test_headers.py
+++ b/packages/magnoliagrade/magnoliagrade/http/tests/test_headers.py
@@ -28,21 +28,21 @@
         request, attempt="t", entry="e", incarnation=1, now=4.0
     )
     assert all(FIELD_VALUE.fullmatch(value) for value in headers.values())
-    again = read_request_headers(headers, method="POST", path="/x", body=b"", now=4.0)
-    assert (again.labels, again.idempotency_key) == (labels, key)
-    assert again.deadline == 9.0
+    read = read_request_headers(headers, method="POST", path="/x", body=b"", now=4.0)
+    assert (read.labels, read.idempotency_key) == (labels, key)
+    assert read.deadline == 9.0
 
 
-def test_internal_headers_that_are_absent_or_malformed_are_refused():
+def test_internal_headers_that_are_absent_or_malformed_are_rejected():
     request = Request(id="r", organisation="o", application="a", method="GET", path="/")
-    good = write_request_headers(
+    valid = write_request_headers(
         request, attempt="t", entry="e", incarnation=1, now=0.0
     )
     flaws = [{name: None} for name in (ATTEMPT, ENTRY, REQUEST)]
     flaws += [{ATTEMPT: ""}, {RESUME_TOKENS: "x"}, {RESUME_TOKENS: "-1"}]
     flaws += [{REQUEST: "{}"}, {REQUEST: "[]"}, {REQUEST: "{"}]
     for flaw in flaws:
-        headers = {k: v for k, v in {**good, **flaw}.items() if v is not None}
+        headers = {k: v for k, v in {**valid, **flaw}.items() if v is not None}
         try:
             read_request_headers(headers, method="GET", path="/", body=b"", now=0.0)
         except MagnoliagradeError as exc:
