--- a/packages/magnoliagrade/magnoliagrade/wire/__init__.py
+++ b/packages/magnoliagrade/magnoliagrade/wire/__init__.py
@@ -1,4 +1,4 @@
-"""Messages between own processes: schema, codec, links."""
+"""Control messages between processes: schema, codec and links."""
 
 from magnoliagrade.wire.capacity import (
     CreditGrant,
--- a/packages/magnoliagrade/magnoliagrade/wire/capacity.capnp
+++ b/packages/magnoliagrade/magnoliagrade/wire/capacity.capnp
@@ -1,22 +1,22 @@
 @0xb3c57ad0912ee845;
-# Messages about credits, load and shared rates.
+# Messages about credit, load and shared rates.
 
 struct CreditRequest {
-  wanted @0 :Float64;        # cost of one more request that waits for credit
+  wanted @0 :Float64;        # cost of a request that waits for credit
   inUse @1 :Float64;
-  returned @2 :Float64;      # an ask that is withdrawn
-  isSurplus @3 :Bool;        # its organisation uses more than its share
+  returned @2 :Float64;      # cost of a cancelled credit request
+  isSurplus @3 :Bool;        # the organisation uses more than its share
   unused @4 :Float64;        # granted credit that no request uses
 }
 
 struct CreditGrant {
-  amount @0 :Float64;        # added to what was granted before
+  amount @0 :Float64;        # added to the credit granted before
   leaseSeconds @1 :Float64;
   engineBoot @2 :Text;
   limit @3 :Float64;
-  held @4 :Float64;          # cost in flight or granted, of all entries
-  isSurplus @5 :Bool;        # as in the ask
-  headroom @6 :Float64;      # cost that asks above a share leave free now
+  held @4 :Float64;          # cost in flight or granted, over all entries
+  isSurplus @5 :Bool;        # as in the credit request
+  headroom @6 :Float64;      # cost that requests above a share must leave free
 }
 
 struct LoadReport {
@@ -27,9 +27,9 @@
   cacheUsed @4 :Float64;
   ageSeconds @5 :Float64;
   limit @6 :Float64;
-  held @7 :Float64;          # cost in flight or granted, of all entries
-  asked @8 :Float64;         # cost that entries wait for
-  headroom @9 :Float64;      # cost that asks above a share leave free now
+  held @7 :Float64;          # cost in flight or granted, over all entries
+  asked @8 :Float64;         # cost of requests that wait at the entries
+  headroom @9 :Float64;      # cost that requests above a share must leave free
 }
 
 struct OrganisationUsage {
@@ -41,7 +41,7 @@
 struct UsageReport {
   intervalSeconds @0 :Float64;
   usages @1 :List(OrganisationUsage);
-  dataCentre @2 :Text;       # empty: of the sender alone; else summed over these
+  dataCentre @2 :Text;       # empty: usage of the sender; else sum over its entries
   entries @3 :UInt32;        # entries of the sender's data centre
 }
 
--- a/packages/magnoliagrade/magnoliagrade/wire/capacity.py
+++ b/packages/magnoliagrade/magnoliagrade/wire/capacity.py
@@ -1,4 +1,4 @@
-"""Messages about credits, load and shared rates."""
+"""Messages about credit, load and shared rates."""
 
 from dataclasses import dataclass, field
 
@@ -15,7 +15,7 @@
 
 @message("capacity", "creditRequest")
 class CreditRequest:
-    """An entry asks an agent for credit for one request, or returns some."""
+    """An entry requests credit for one request from an agent, or returns credit."""
 
     wanted: float = 0.0
     in_use: float = 0.0
@@ -26,7 +26,7 @@
 
 @message("capacity", "creditGrant")
 class CreditGrant:
-    """An agent grants an entry the credit of one ask."""
+    """An agent grants an entry the credit of one `CreditRequest`."""
 
     amount: float = 0.0
     lease_seconds: float = 0.0
@@ -39,7 +39,7 @@
 
 @message("capacity", "loadReport")
 class EngineLoad:
-    """An agent passes on its endpoint's load and limit."""
+    """An agent reports the load and the limit of its endpoint."""
 
     boot_id: str = ""
     running: int = 0
@@ -55,7 +55,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class OrganisationUsage:
-    """What one organisation used at one entry."""
+    """Usage of one organisation, at one entry or at the entries of a data centre."""
 
     organisation: str = ""
     cost: float = 0.0
@@ -64,10 +64,11 @@
 
 @message("capacity", "usageReport")
 class UsageReport:
-    """An entry tells peers what organisations with a ceiling asked for lately.
+    """An entry reports to its peers the usage of organisations that have a ceiling.
 
-    Peers of its own data centre get its own figures, those of others the sums over
-    the entries of its data centre.
+    The report covers the last `interval_seconds`. Peers in the same data centre receive
+    the figures of the sender alone, peers in remote data centres the sums over the
+    entries of the sender's data centre.
     """
 
     interval_seconds: float = 0.0
--- a/packages/magnoliagrade/magnoliagrade/wire/codec.py
+++ b/packages/magnoliagrade/magnoliagrade/wire/codec.py
@@ -9,7 +9,11 @@
 import capnp
 
 from magnoliagrade.errors import ErrorKind, MagnoliagradeError
-from magnoliagrade.wire.message_table import MESSAGE_BY_PLACE, PLACE_BY_MESSAGE, Place
+from magnoliagrade.wire.message_table import (
+    MESSAGE_BY_UNION_PATH,
+    UNION_PATH_BY_MESSAGE,
+    UnionPath,
+)
 
 __all__ = ["Envelope", "decode", "encode"]
 
@@ -18,7 +22,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Envelope:
-    """A message with the state of its sender.
+    """A message together with the state of its sender.
 
     Parameters
     ----------
@@ -27,11 +31,11 @@
     incarnation : int
         Incarnation of the sender.
     sequence : int
-        Number of the message on its link, from 1.
+        Number of the message on its link, starting at 1.
     configuration_revision : int
-        Configuration revision that the sender has in force.
+        Revision of the configuration that the sender has in force.
     message : object
-        One of the registered message classes.
+        Instance of a registered message class.
     """
 
     instance: str
@@ -42,12 +46,12 @@
 
 
 def encode(envelope):
-    """Return an envelope as packed bytes.
+    """Return the packed bytes of an envelope.
 
     Parameters
     ----------
     envelope : Envelope
-        Envelope with a registered message.
+        Envelope whose message is of a registered class.
 
     Returns
     -------
@@ -59,22 +63,24 @@
     MagnoliagradeError
         `WIRE_INVALID` if the message's class is not registered.
     """
-    place = PLACE_BY_MESSAGE.get(type(envelope.message))
-    if place is None:
+    path = UNION_PATH_BY_MESSAGE.get(type(envelope.message))
+    if path is None:
         name = type(envelope.message).__name__
-        raise MagnoliagradeError(ErrorKind.WIRE_INVALID, f"{name} is no message")
+        raise MagnoliagradeError(
+            ErrorKind.WIRE_INVALID, f"{name} is not a registered message class"
+        )
     root = _schema().Envelope.new_message()
     root.instance = envelope.instance
     root.incarnation = envelope.incarnation
     root.sequence = envelope.sequence
     root.configurationRevision = envelope.configuration_revision
-    body = root.init(place.family).init(place.member)
+    body = root.init(path.family).init(path.member)
     _fill(body, envelope.message)
     return root.to_bytes_packed()
 
 
 def decode(data):
-    """Return the envelope that packed bytes hold.
+    """Return the envelope decoded from packed bytes.
 
     Parameters
     ----------
@@ -84,18 +90,18 @@
     Returns
     -------
     envelope : Envelope
-        The envelope with its typed message.
+        Envelope with its typed message.
 
     Raises
     ------
     MagnoliagradeError
-        `WIRE_INVALID` if the bytes are no envelope or the message is unknown.
+        `WIRE_INVALID` if the bytes are not an envelope or the message is unknown.
     """
     try:
         root = _schema().Envelope.from_bytes_packed(data)
         family = root.which()
         member = getattr(root, family).which()
-        cls = MESSAGE_BY_PLACE[Place(str(family), str(member))]
+        cls = MESSAGE_BY_UNION_PATH[UnionPath(str(family), str(member))]
         body = getattr(getattr(root, str(family)), str(member))
         return Envelope(
             instance=root.instance,
@@ -105,7 +111,7 @@
             message=_read(cls, body),
         )
     except (capnp.KjException, KeyError, AttributeError, UnicodeDecodeError) as exc:
-        detail = f"{len(data)} bytes hold no known message: {exc}"
+        detail = f"{len(data)} bytes cannot be decoded as a known message: {exc}"
         raise MagnoliagradeError(ErrorKind.WIRE_INVALID, detail) from exc
 
 
@@ -115,23 +121,24 @@
 
 
 @functools.cache
-def _columns(cls):
-    # (attribute, schema name, class of list items or None)
+def _schema_fields(cls):
+    # Tuples of attribute, field name in the schema, and class of list items or None.
     return [
-        (f.name, _camel(f.name), f.metadata.get("of")) for f in dataclasses.fields(cls)
+        (f.name, _camel_case(f.name), f.metadata.get("of"))
+        for f in dataclasses.fields(cls)
     ]
 
 
-def _camel(name):
+def _camel_case(name):
     return re.sub(r"_([a-z])", lambda m: m.group(1).upper(), name)
 
 
 def _fill(body, item):
-    for attribute, name, of in _columns(type(item)):
+    for attribute, name, item_class in _schema_fields(type(item)):
         value = getattr(item, attribute)
         if not isinstance(value, list):
             setattr(body, name, value)
-        elif of is None:
+        elif item_class is None:
             setattr(body, name, value)
         else:
             rows = body.init(name, len(value))
@@ -141,10 +148,10 @@
 
 def _read(cls, body):
     values = {}
-    for attribute, name, of in _columns(cls):
+    for attribute, name, item_class in _schema_fields(cls):
         value = getattr(body, name)
-        if of is not None:
-            value = [_read(of, row) for row in value]
+        if item_class is not None:
+            value = [_read(item_class, row) for row in value]
         elif not isinstance(value, (str, bytes, int, float)):
             value = list(value)
         values[attribute] = value
--- a/packages/magnoliagrade/magnoliagrade/wire/configuration.capnp
+++ b/packages/magnoliagrade/magnoliagrade/wire/configuration.capnp
@@ -1,5 +1,5 @@
 @0xa94d07e3c85b12f6;
-# Messages that spread the configuration.
+# Messages that propagate the configuration and report an instance's state.
 
 struct ConfigurationPull {
   knownRevision @0 :UInt64;
--- a/packages/magnoliagrade/magnoliagrade/wire/configuration.py
+++ b/packages/magnoliagrade/magnoliagrade/wire/configuration.py
@@ -1,4 +1,4 @@
-"""Messages that spread the configuration."""
+"""Messages that propagate the configuration and report an instance's state."""
 
 from dataclasses import dataclass, field
 
@@ -16,7 +16,7 @@
 
 @message("configuration", "pull")
 class ConfigurationPull:
-    """A process that is behind asks for the configuration."""
+    """A process with an older revision requests the configuration."""
 
     known_revision: int = 0
     known_digests: list = field(default_factory=list)
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class ConfigurationChunk:
-    """One content-addressed part of the configuration."""
+    """One content-addressed chunk of the configuration."""
 
     name: str = ""
     digest: str = ""
@@ -33,7 +33,7 @@
 
 @message("configuration", "offer")
 class ConfigurationOffer:
-    """A process that is ahead sends the root and the chunks that are missing."""
+    """A process with a newer revision sends the root and the missing chunks."""
 
     revision: int = 0
     root: bytes = b""
@@ -42,19 +42,19 @@
 
 @message("configuration", "watch")
 class ConfigurationWatch:
-    """An entry tells whether the store answers its watch."""
+    """An entry reports whether the store responds to its watch."""
 
     is_watching: bool = False
 
 
 @message("configuration", "statusPull")
 class StatusPull:
-    """An operator's command asks for the state of an instance."""
+    """An operator's command requests the state of an instance."""
 
 
 @message("configuration", "statusReport")
 class StatusReport:
-    """State of an instance for an operator."""
+    """An instance reports its state to an operator's command."""
 
     revision: int = 0
     operation: str = ""
--- a/packages/magnoliagrade/magnoliagrade/wire/connect.py
+++ b/packages/magnoliagrade/magnoliagrade/wire/connect.py
@@ -1,4 +1,4 @@
-"""Opening links: the listening side and the dialling side."""
+"""Opening of links, by listening and by dialling."""
 
 import asyncio
 import contextlib
@@ -8,7 +8,7 @@
 from magnoliagrade.observability.logs import log_event
 from magnoliagrade.wire.membership import PROTOCOL_VERSION, Hello
 
-__all__ = ["maintain_link", "next_pause", "serve_links"]
+__all__ = ["maintain_link", "next_backoff", "serve_links"]
 
 BACKOFF_FIRST_S = 0.1
 BACKOFF_MAX_S = 5.0
@@ -19,25 +19,25 @@
 
 
 async def serve_links(*, host, port, make_link, hello, handle):
-    """Listen for links and run one task for each.
+    """Listen for links and run a handler for each.
 
     Parameters
     ----------
     host : str
         Address to listen on.
     port : int
-        Port; 0 takes a free one.
+        Port to listen on; 0 chooses a free port.
     make_link : callable
-        Called with `reader` and `writer`, returns a `Link`.
+        Called with `reader` and `writer`; returns a `Link`.
     hello : callable
         Returns the `Hello` to send.
     handle : coroutine function
-        Called with the link once both sides have said hello.
+        Called with the link after both sides have sent `Hello`.
 
     Returns
     -------
     server : asyncio.Server
-        The listening server.
+        Server that listens for links.
     """
 
     async def on_connection(reader, writer):
@@ -62,33 +62,33 @@
     may_dial=lambda: True,
     on_result=lambda linked: None,
 ):
-    """Dial an address again and again until cancelled.
+    """Keep a link to an address open, dialling again after it is lost, until cancelled.
 
     Parameters
     ----------
     address : str
         `host:port` to dial.
     make_link : callable
-        Called with `reader`, `writer` and `is_dialled`, returns a `Link`.
+        Called with `reader`, `writer` and `is_dialled`; returns a `Link`.
     hello : callable
         Returns the `Hello` to send.
     handle : coroutine function
-        Called with each link that comes about.
+        Called with each link after both sides have sent `Hello`.
     clock : Clock
         Source of time.
     rng : random.Random
-        Source of jitter.
+        Random number generator for the jitter.
     source : str
-        Local address to dial from; empty leaves it to the system.
+        Local address to dial from; if empty, the system chooses one.
     expected : str
-        Instance that should answer; another one is refused. Empty allows any.
+        Name of the instance to accept; any other is rejected. Empty accepts any.
     may_dial : callable
-        Returns whether a link is wanted now.
+        Returns whether to dial now.
     on_result : callable
-        Told after each attempt whether hellos were exchanged.
+        Called after each attempt with whether the `Hello` messages were exchanged.
     """
     host, _, port = address.rpartition(":")
-    pause = BACKOFF_FIRST_S
+    backoff_s = BACKOFF_FIRST_S
     while True:
         if may_dial():
             link = await _dial(host, int(port), make_link, source)
@@ -97,38 +97,39 @@
             )
             on_result(linked)
             if linked:
-                pause = BACKOFF_FIRST_S
-        pause = next_pause(pause, rng)
-        await clock.sleep(pause)
+                backoff_s = BACKOFF_FIRST_S
+        backoff_s = next_backoff(backoff_s, rng)
+        await clock.sleep(backoff_s)
 
 
-def next_pause(pause, rng):
-    """Return the pause before the next attempt to dial.
+def next_backoff(backoff_s, rng):
+    """Return the backoff before the next attempt to dial, in seconds.
 
     Parameters
     ----------
-    pause : float
-        Pause before the last attempt, in seconds.
+    backoff_s : float
+        Backoff before the last attempt.
     rng : random.Random
-        Source of jitter.
+        Random number generator for the jitter.
 
     Returns
     -------
-    pause : float
-        Seconds, drawn from [first, 3 x last] and capped.
+    next_backoff_s : float
+        Drawn uniformly from `BACKOFF_FIRST_S` to 3 times the last one, and capped at
+        `BACKOFF_MAX_S`.
 
     Notes
     -----
-    The draw keeps processes that lost the same peer from coming back in step
-    [1]_. Capping the draw rather than its range makes fewer attempts in a long
-    outage.
+    The jitter prevents processes that lost the same peer from reconnecting at the
+    same times [1]_. Capping the drawn value rather than its range leads to fewer
+    attempts in a long outage.
 
     References
     ----------
     .. [1] M. Brooker, "Exponential backoff and jitter", 2015 (decorrelated
        jitter).
     """
-    return min(BACKOFF_MAX_S, rng.uniform(BACKOFF_FIRST_S, pause * 3))
+    return min(BACKOFF_MAX_S, rng.uniform(BACKOFF_FIRST_S, backoff_s * 3))
 
 
 async def _dial(host, port, make_link, source):
@@ -143,8 +144,8 @@
 
 
 async def _run_link(link, hello, handle, *, expected=""):
-    """Exchange hellos and run the handler; return whether hellos were exchanged."""
-    greeted = False
+    """Exchange `Hello` messages and run the handler; return whether both arrived."""
+    hellos_exchanged = False
     try:
         link.send(hello())
         async with asyncio.timeout(HELLO_TIMEOUT_S):
@@ -153,7 +154,7 @@
             log_event(_log, "link.refused", peer=link.peer_instance)
             return False
         link.hello = first
-        greeted = True
+        hellos_exchanged = True
         await handle(link)
     except (ConnectionError, TimeoutError, OSError):
         pass
@@ -162,7 +163,7 @@
     finally:
         with contextlib.suppress(Exception):
             link.close()
-    return greeted
+    return hellos_exchanged
 
 
 def _is_acceptable(first, peer_instance, expected):
--- a/packages/magnoliagrade/magnoliagrade/wire/envelope.capnp
+++ b/packages/magnoliagrade/magnoliagrade/wire/envelope.capnp
@@ -1,5 +1,5 @@
 @0xc10f6e8db2597a43;
-# The envelope of every message between own processes.
+# Envelope of every message between two processes of the system.
 
 using Membership = import "membership.capnp";
 using Capacity = import "capacity.capnp";
--- a/packages/magnoliagrade/magnoliagrade/wire/group.capnp
+++ b/packages/magnoliagrade/magnoliagrade/wire/group.capnp
@@ -1,12 +1,12 @@
 @0xf27ac3b86d1405e9;
-# Messages of expert-parallel groups: the switch of the expert map.
+# Messages of expert-parallel groups: switches of the expert map and token counts.
 
 struct StageMap {
   group @0 :Text;
   generation @1 :UInt64;
   fence @2 :UInt64;
   version @3 :UInt64;
-  map @4 :Data;              # packed placement
+  map @4 :Data;              # packed expert map
 }
 
 struct StageAck {
@@ -15,7 +15,7 @@
   version @2 :UInt64;
   rank @3 :UInt32;
   accepted @4 :Bool;
-  fence @5 :UInt64;          # newest that the rank has seen
+  fence @5 :UInt64;          # newest fencing number that the rank has received
   needsMap @6 :Bool;
 }
 
@@ -76,14 +76,14 @@
   currentVersion @4 :UInt64;
   openVersion @5 :UInt64;
   openStep @6 :UInt64;
-  outcome @7 :Text;          # committed, aborted or empty
+  outcome @7 :Text;          # committed, aborted, or empty for none
   map @8 :Data;
   openMap @9 :Data;
   completedStep @10 :UInt64;
-  origin @11 :UInt64;        # 0: the rank knows nothing of the group
+  origin @11 :UInt64;        # 0: the rank has no state of the group
   fence @12 :UInt64;
   incarnations @13 :List(UInt64);
-  isRankNew @14 :Bool;       # the rank's process started after it last ran
+  isRankNew @14 :Bool;       # the rank's process restarted since the rank last ran
 }
 
 struct ExpertCounts {
@@ -94,8 +94,8 @@
   counts @4 :List(Float32);  # layers x experts, row-major
   step @5 :UInt64;
   stepSeconds @6 :Float32;
-  seconds @7 :Float32;       # time that was counted
-  workSeconds @8 :Float32;   # work of the rank without waiting for others
+  seconds @7 :Float32;       # length of the counted period
+  workSeconds @8 :Float32;   # time that the rank worked, without waits for other ranks
 }
 
 struct GenerationSettled {
@@ -107,7 +107,7 @@
 struct CountsRequest {
   group @0 :Text;
   fence @1 :UInt64;
-  isBeat @2 :Bool;           # only says that the coordinator lives
+  isBeat @2 :Bool;           # heartbeat of the coordinator; no counts are requested
 }
 
 struct GroupState {
--- a/packages/magnoliagrade/magnoliagrade/wire/group.py
+++ b/packages/magnoliagrade/magnoliagrade/wire/group.py
@@ -1,4 +1,4 @@
-"""Messages of expert-parallel groups: the switch of the expert map."""
+"""Messages of expert-parallel groups: switches of the expert map and token counts."""
 
 from dataclasses import field
 
@@ -23,7 +23,10 @@
 
 @message("group", "stage")
 class StageMap:
-    """Order to load the missing experts of a map, without obligation."""
+    """The coordinator asks a rank to load the experts of a map that it lacks.
+
+    Loading does not commit the rank to a switch.
+    """
 
     group: str = ""
     generation: int = 0
@@ -34,7 +37,7 @@
 
 @message("group", "stageAck")
 class StageAck:
-    """A rank has (or has not) loaded the experts of a staged map."""
+    """A rank reports whether it has loaded the experts of a staged map."""
 
     group: str = ""
     generation: int = 0
@@ -47,7 +50,7 @@
 
 @message("group", "arm")
 class ArmSwitch:
-    """Order not to begin a step before the outcome is known."""
+    """The coordinator orders a rank not to begin `step` before the outcome is known."""
 
     group: str = ""
     generation: int = 0
@@ -58,7 +61,7 @@
 
 @message("group", "armAck")
 class ArmAck:
-    """A rank has armed, or has refused for good."""
+    """A rank reports that it has armed for a switch, or has rejected it for good."""
 
     group: str = ""
     generation: int = 0
@@ -70,7 +73,7 @@
 
 @message("group", "outcome")
 class SwitchOutcome:
-    """The switch was committed or aborted."""
+    """Outcome of a switch: committed or aborted."""
 
     group: str = ""
     generation: int = 0
@@ -82,7 +85,7 @@
 
 @message("group", "known")
 class OutcomeKnown:
-    """A rank knows the outcome of a switch."""
+    """A rank confirms that it knows the outcome of a switch."""
 
     group: str = ""
     generation: int = 0
@@ -93,7 +96,7 @@
 
 @message("group", "query")
 class OutcomeQuery:
-    """A rank asks another one what it knows of a switch."""
+    """A rank asks another rank for the outcome of a switch."""
 
     group: str = ""
     generation: int = 0
@@ -104,7 +107,7 @@
 
 @message("group", "join")
 class GenerationJoin:
-    """A restarted rank opens a new generation of the group."""
+    """A restarted rank announces a new generation of the group."""
 
     group: str = ""
     generation: int = 0
@@ -114,7 +117,7 @@
 
 @message("group", "joinAnswer")
 class GenerationAnswer:
-    """A survivor's one answer in a new generation."""
+    """A rank's only reply in a new generation: its expert map and open switch."""
 
     group: str = ""
     generation: int = 0
@@ -135,7 +138,7 @@
 
 @message("group", "settled")
 class GenerationSettled:
-    """A rank has settled a generation on the map that all answers give."""
+    """A rank reports that it settled a generation on the map that all replies give."""
 
     group: str = ""
     generation: int = 0
@@ -144,7 +147,7 @@
 
 @message("group", "state")
 class GroupState:
-    """An agent tells entries and peers whether its group can take requests."""
+    """An agent reports to entries and peers whether its group can take requests."""
 
     group: str = ""
     rank: int = 0
@@ -157,7 +160,7 @@
 
 @message("group", "expertCounts")
 class ExpertCounts:
-    """Token counts per layer and expert, seen by one rank."""
+    """Token counts per layer and expert, as counted at one rank."""
 
     group: str = ""
     rank: int = 0
@@ -172,7 +175,7 @@
 
 @message("group", "countsRequest")
 class CountsRequest:
-    """The coordinator says that it lives, and may ask for token counts."""
+    """Heartbeat of the coordinator that also requests token counts unless `is_beat`."""
 
     group: str = ""
     fence: int = 0
--- a/packages/magnoliagrade/magnoliagrade/wire/link.py
+++ b/packages/magnoliagrade/magnoliagrade/wire/link.py
@@ -1,4 +1,4 @@
-"""Links: one TCP connection between two own processes."""
+"""Links: control connections over TCP between two processes."""
 
 import asyncio
 import struct
@@ -10,11 +10,11 @@
 
 MAX_MESSAGE_BYTES = 4 * 1024 * 1024
 MAX_BUFFERED_BYTES = 8 * 1024 * 1024
-_PREFIX = struct.Struct(">I")
+_LENGTH_PREFIX = struct.Struct(">I")
 
 
 class LinkCounters:
-    """Messages and bytes that crossed the links of one process."""
+    """Counts of messages and bytes received and sent on the links of one process."""
 
     __slots__ = ("bytes_in", "bytes_out", "messages_in", "messages_out")
 
@@ -31,22 +31,22 @@
     Parameters
     ----------
     reader : asyncio.StreamReader
-        Incoming bytes.
+        Stream that messages are received from.
     writer : asyncio.StreamWriter
-        Outgoing bytes.
+        Stream that messages are sent to.
     identity : InstanceIdentity
-        Who this process is.
+        Identity of this process.
     revision : callable
-        Returns the configuration revision in force here.
+        Returns the configuration revision in force at this process.
     counters : LinkCounters, optional
-        Where messages and bytes are counted.
+        Counters of messages and bytes; new ones by default.
     is_dialled : bool
-        Whether this side opened the connection.
+        Whether this process opened the connection.
 
     Notes
     -----
-    Frames are a big-endian 32-bit length and that many bytes. Instances on both
-    sides send `Hello` first.
+    A frame is a big-endian 32-bit length followed by that many bytes. Both instances
+    send `Hello` as their first message.
     """
 
     __slots__ = (
@@ -83,17 +83,17 @@
         self.last_sequence_in = 0
 
     def send(self, message):
-        """Queue a message for sending.
+        """Queue a message for sending; drop it if the link is closing.
 
         Parameters
         ----------
         message : object
-            A registered message.
+            Instance of a registered message class.
         """
         if self._writer.is_closing():
             return
         if self._writer.transport.get_write_buffer_size() > MAX_BUFFERED_BYTES:
-            # The other side does not read; a new link starts from scratch.
+            # The peer does not read; a new link starts with an empty buffer.
             self._writer.transport.abort()
             return
         self.has_sent_since_check = True
@@ -107,41 +107,43 @@
                 message=message,
             )
         )
-        self._writer.write(_PREFIX.pack(len(data)) + data)
+        self._writer.write(_LENGTH_PREFIX.pack(len(data)) + data)
         self.counters.messages_out += 1
-        self.counters.bytes_out += len(data) + _PREFIX.size
+        self.counters.bytes_out += len(data) + _LENGTH_PREFIX.size
 
     async def drain(self):
-        """Wait until the other side has read enough for more to be sent."""
+        """Wait until the write buffer has free capacity again."""
         await self._writer.drain()
 
     async def receive(self):
-        """Return the next message.
+        """Return the next message and record the state of its sender on the link.
 
         Returns
         -------
         message : object
-            A registered message; the sender's state is noted on the link.
+            Instance of a registered message class.
 
         Raises
         ------
         MagnoliagradeError
-            `WIRE_INVALID` for an unreadable or oversized frame.
+            `WIRE_INVALID` if a frame is too large or can't be decoded.
         ConnectionError
             If the connection ends.
         """
         try:
-            prefix = await self._reader.readexactly(_PREFIX.size)
-            (size,) = _PREFIX.unpack(prefix)
+            prefix = await self._reader.readexactly(_LENGTH_PREFIX.size)
+            (size,) = _LENGTH_PREFIX.unpack(prefix)
             if size > MAX_MESSAGE_BYTES:
-                detail = f"frame of {size} bytes exceeds {MAX_MESSAGE_BYTES}"
+                detail = (
+                    f"frame of {size} bytes exceeds the limit of {MAX_MESSAGE_BYTES}"
+                )
                 raise MagnoliagradeError(ErrorKind.WIRE_INVALID, detail)
             data = await self._reader.readexactly(size)
         except asyncio.IncompleteReadError as exc:
-            raise ConnectionResetError("link closed by the other side") from exc
+            raise ConnectionResetError("link closed by the peer") from exc
         envelope = decode(data)
         self.counters.messages_in += 1
-        self.counters.bytes_in += size + _PREFIX.size
+        self.counters.bytes_in += size + _LENGTH_PREFIX.size
         self.peer_instance = envelope.instance
         self.peer_incarnation = envelope.incarnation
         self.peer_revision = envelope.configuration_revision
@@ -149,14 +151,14 @@
         return envelope.message
 
     def consume_sent_flag(self):
-        """Return whether anything was sent since this was last asked."""
+        """Return whether a message was sent since the last call, and reset the flag."""
         has_sent_since_check = self.has_sent_since_check
         self.has_sent_since_check = False
         return has_sent_since_check
 
     @property
     def is_closing(self):
-        """Whether the link is closed or being closed."""
+        """Whether the link is closed or is closing."""
         return self._writer.is_closing()
 
     def close(self):
--- a/packages/magnoliagrade/magnoliagrade/wire/membership.capnp
+++ b/packages/magnoliagrade/magnoliagrade/wire/membership.capnp
@@ -1,5 +1,5 @@
 @0xd8f2b1a46c0e9f31;
-# Messages about who is there and in which state.
+# Messages about the instances of the system and their states.
 
 struct Label {
   name @0 :Text;
@@ -10,7 +10,7 @@
   protocolVersion @0 :UInt16;
   role @1 :Text;
   dataCentre @2 :Text;
-  dataAddress @3 :Text;      # host:port of the HTTP listener for own processes
+  dataAddress @3 :Text;      # host:port of the HTTP listener for other processes
   controlAddress @4 :Text;
   labels @5 :List(Label);
   group @6 :Text;
@@ -18,11 +18,11 @@
 }
 
 struct Heartbeat {
-  echoSequence @0 :UInt64;   # sequence of the newest message seen from the other side
+  echoSequence @0 :UInt64;   # sequence of the newest message received on the link
 }
 
 struct Leaving {
-  subject @0 :Text;          # instance that leaves; empty means the sender
+  subject @0 :Text;          # instance that leaves; empty for the sender
   subjectIncarnation @1 :UInt64;
   reason @2 :Text;
 }
@@ -50,11 +50,11 @@
 }
 
 struct InstanceRowsPull {
-  ageSeconds @0 :Float64;    # age of the sender's own list
+  ageSeconds @0 :Float64;    # age of the sender's list
 }
 
 struct InstanceRows {
-  ageSeconds @0 :Float64;    # since the list was read from the platform
+  ageSeconds @0 :Float64;    # time since the list was read from the platform
   rows @1 :List(InstanceRow);
 }
 
--- a/packages/magnoliagrade/magnoliagrade/wire/membership.py
+++ b/packages/magnoliagrade/magnoliagrade/wire/membership.py
@@ -1,4 +1,4 @@
-"""Messages about who is there and in which state."""
+"""Messages about the instances of the system and their states."""
 
 from dataclasses import dataclass, field
 
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Label:
-    """One label."""
+    """Label of an instance."""
 
     name: str = ""
     value: str = ""
@@ -29,7 +29,7 @@
 
 @message("membership", "hello")
 class Hello:
-    """First message of each side of a link: who is speaking."""
+    """First message of each side of a link, which identifies the sender."""
 
     protocol_version: int = PROTOCOL_VERSION
     role: str = ""
@@ -43,14 +43,14 @@
 
 @message("membership", "heartbeat")
 class Heartbeat:
-    """Sign of life that echoes the newest sequence number received."""
+    """Heartbeat that echoes the newest sequence number received."""
 
     echo_sequence: int = 0
 
 
 @message("membership", "leaving")
 class Leaving:
-    """Notice that an instance takes no new work any more."""
+    """Notice that an instance accepts no new work from now on."""
 
     subject: str = ""
     subject_incarnation: int = 0
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class InstanceRow:
-    """One row of the platform's list, passed on between peers."""
+    """Row of the platform's list of instances, as peers send it to each other."""
 
     name: str = ""
     role: str = ""
@@ -70,7 +70,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class PoolSummary:
-    """What one data centre could take for one pool."""
+    """Free capacity and queue of one pool in one data centre."""
 
     pool: str = ""
     free_credits: float = 0.0
@@ -81,7 +81,7 @@
 
 @message("membership", "peerSummary")
 class PeerSummary:
-    """Periodic summary that an entry sends to its peers."""
+    """Summary of pools and instances that an entry periodically sends to its peers."""
 
     data_centre: str = ""
     pools: list = field(default_factory=list, metadata={"of": PoolSummary})
@@ -90,14 +90,14 @@
 
 @message("membership", "instanceRowsPull")
 class InstanceRowsPull:
-    """An entry whose list is old asks a peer for a newer one."""
+    """An entry with an outdated list of instances requests a newer one from a peer."""
 
     age_seconds: float = 0.0
 
 
 @message("membership", "instanceRows")
 class InstanceRows:
-    """The platform's list as an entry knows it, with its age."""
+    """The platform's list of instances as last received by an entry, with its age."""
 
     age_seconds: float = 0.0
     rows: list = field(default_factory=list, metadata={"of": InstanceRow})
--- a/packages/magnoliagrade/magnoliagrade/wire/message_table.py
+++ b/packages/magnoliagrade/magnoliagrade/wire/message_table.py
@@ -1,16 +1,16 @@
-"""Table that ties message classes to their place in the schema."""
+"""Table that maps message classes to members of the schema's unions."""
 
 from dataclasses import dataclass
 
-__all__ = ["MESSAGE_BY_PLACE", "PLACE_BY_MESSAGE", "Place", "message"]
+__all__ = ["MESSAGE_BY_UNION_PATH", "UNION_PATH_BY_MESSAGE", "UnionPath", "message"]
 
-MESSAGE_BY_PLACE = {}
-PLACE_BY_MESSAGE = {}
+MESSAGE_BY_UNION_PATH = {}
+UNION_PATH_BY_MESSAGE = {}
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
-    """Where a message stands in the envelope's unions.
+class UnionPath:
+    """Path to a message in the nested unions of the envelope.
 
     Parameters
     ----------
@@ -25,7 +25,7 @@
 
 
 def message(family, member):
-    """Return a decorator that files a slotted dataclass as a message.
+    """Return a decorator that makes a class a slotted dataclass and registers it.
 
     Parameters
     ----------
@@ -35,11 +35,11 @@
         Member of the family's union.
     """
 
-    def file_class(cls):
-        place = Place(family, member)
-        made = dataclass(slots=True, kw_only=True)(cls)
-        MESSAGE_BY_PLACE[place] = made
-        PLACE_BY_MESSAGE[made] = place
-        return made
+    def register(cls):
+        path = UnionPath(family, member)
+        message_class = dataclass(slots=True, kw_only=True)(cls)
+        MESSAGE_BY_UNION_PATH[path] = message_class
+        UNION_PATH_BY_MESSAGE[message_class] = path
+        return message_class
 
-    return file_class
+    return register
--- a/packages/magnoliagrade/magnoliagrade/wire/outcome.capnp
+++ b/packages/magnoliagrade/magnoliagrade/wire/outcome.capnp
@@ -1,5 +1,5 @@
 @0xe61c2f95a3d84b07;
-# Messages that settle whether an attempt ran.
+# Messages that determine whether an attempt ran.
 
 struct Revoke {
   attempt @0 :Text;
@@ -9,7 +9,7 @@
   attempt @0 :Text;
   neverStarted @1 :Bool;
   isRunning @2 :Bool;
-  status @3 :UInt16;         # HTTP status of the recorded answer; 0 for none
+  status @3 :UInt16;         # HTTP status of the recorded response; 0 for none
   contentType @4 :Text;
   body @5 :Data;
 }
@@ -19,16 +19,16 @@
   operation @1 :Text;
   key @2 :Text;
   digest @3 :Text;
-  until @4 :Float64;         # wall-clock seconds after which it may be dropped
+  until @4 :Float64;         # wall-clock seconds after which the claim may be dropped
   status @5 :UInt16;         # HTTP status of the recorded outcome; 0 for none
   contentType @6 :Text;
   body @7 :Data;
 }
 
 struct ClaimAnswer {
-  asked @0 :Text;            # operation that asked
-  isAvailable @1 :Bool;      # false: the store did not take the claim
-  operation @2 :Text;        # of the claim that holds
+  asked @0 :Text;            # operation that requested the change
+  isAvailable @1 :Bool;      # false: the store did not accept the claim
+  operation @2 :Text;        # of the claim in force
   key @3 :Text;
   digest @4 :Text;
   until @5 :Float64;
--- a/packages/magnoliagrade/magnoliagrade/wire/outcome.py
+++ b/packages/magnoliagrade/magnoliagrade/wire/outcome.py
@@ -1,4 +1,4 @@
-"""Messages that settle whether an attempt ran."""
+"""Messages that determine whether an attempt ran."""
 
 from magnoliagrade.wire.message_table import message
 
@@ -7,14 +7,14 @@
 
 @message("outcome", "revoke")
 class Revoke:
-    """An entry withdraws an attempt; a copy that comes later is refused."""
+    """An entry revokes an attempt; a copy that arrives later is rejected."""
 
     attempt: str = ""
 
 
 @message("outcome", "revokeAnswer")
 class RevokeAnswer:
-    """The receiver says whether a withdrawn attempt never started, or how it ended."""
+    """The receiver reports whether a revoked attempt never started, or how it ended."""
 
     attempt: str = ""
     never_started: bool = False
@@ -26,7 +26,7 @@
 
 @message("outcome", "claimChange")
 class ClaimChange:
-    """An entry asks the writer of a shard of claims for a change."""
+    """An entry requests a change of a claim from the writer of the claim's shard."""
 
     action: str = ""
     operation: str = ""
@@ -40,7 +40,7 @@
 
 @message("outcome", "claimAnswer")
 class ClaimAnswer:
-    """The writer of a shard says which claim holds."""
+    """The writer of a shard reports which claim is in force."""
 
     asked: str = ""
     is_available: bool = False
--- a/packages/magnoliagrade/magnoliagrade/wire/tests/test_codec.py
+++ b/packages/magnoliagrade/magnoliagrade/wire/tests/test_codec.py
@@ -1,6 +1,6 @@
 from magnoliagrade.errors import ErrorKind, MagnoliagradeError
 from magnoliagrade.wire import Envelope, Hello, Label, decode, encode
-from magnoliagrade.wire.message_table import PLACE_BY_MESSAGE
+from magnoliagrade.wire.message_table import UNION_PATH_BY_MESSAGE
 
 
 def _envelope(message):
@@ -13,18 +13,18 @@
     )
 
 
-def test_every_message_survives_the_round_trip():
-    for message_class in PLACE_BY_MESSAGE:
+def test_every_message_class_is_decoded_as_it_was_encoded():
+    for message_class in UNION_PATH_BY_MESSAGE:
         envelope = _envelope(message_class())
         assert decode(encode(envelope)) == envelope
 
 
-def test_lists_of_rows_survive():
+def test_lists_of_rows_are_decoded_as_they_were_encoded():
     hello = Hello(role="entry", labels=[Label(name="a", value="b")], rank=3)
     assert decode(encode(_envelope(hello))).message == hello
 
 
-def test_unreadable_bytes_are_refused():
+def test_undecodable_bytes_are_rejected():
     for data in (b"", b"\xff" * 40, b"hello world"):
         try:
             decode(data)
--- a/packages/magnoliagrade/magnoliagrade/wire/tests/test_connect.py
+++ b/packages/magnoliagrade/magnoliagrade/wire/tests/test_connect.py
@@ -4,39 +4,39 @@
 from magnoliagrade.clock import SystemClock
 from magnoliagrade.identity import InstanceIdentity
 from magnoliagrade.wire import Heartbeat, Hello, Link, maintain_link, serve_links
-from magnoliagrade.wire.connect import BACKOFF_FIRST_S, BACKOFF_MAX_S, next_pause
+from magnoliagrade.wire.connect import BACKOFF_FIRST_S, BACKOFF_MAX_S, next_backoff
 
 
 def _attempt_times(seed, until_s):
     rng = random.Random(seed)
-    now, pause, times = 0.0, BACKOFF_FIRST_S, []
+    now, backoff_s, times = 0.0, BACKOFF_FIRST_S, []
     while now < until_s:
         times.append(now)
-        pause = next_pause(pause, rng)
-        now += pause
+        backoff_s = next_backoff(backoff_s, rng)
+        now += backoff_s
     return times
 
 
-def test_processes_that_lost_the_same_peer_do_not_come_back_in_step():
-    width_s = 0.1
+def test_processes_that_lost_the_same_peer_reconnect_at_different_times():
+    window_s = 0.1
     counts = {}
     processes = 390
     for seed in range(processes):
         for at in _attempt_times(seed, 120.0):
             if at > 30.0:
-                window = int(at / width_s)
+                window = int(at / window_s)
                 counts[window] = counts.get(window, 0) + 1
     mean = sum(counts.values()) / len(counts)
     assert max(counts.values()) <= 3 * mean
     assert mean * 10 <= processes
 
 
-def test_pause_stays_within_bounds():
+def test_backoff_stays_within_its_bounds():
     rng = random.Random(1)
-    pause = BACKOFF_FIRST_S
+    backoff_s = BACKOFF_FIRST_S
     for _ in range(1000):
-        pause = next_pause(pause, rng)
-        assert BACKOFF_FIRST_S <= pause <= BACKOFF_MAX_S
+        backoff_s = next_backoff(backoff_s, rng)
+        assert BACKOFF_FIRST_S <= backoff_s <= BACKOFF_MAX_S
 
 
 def _make_link(name):
@@ -54,9 +54,9 @@
     return make_link
 
 
-def test_instance_that_was_not_expected_is_refused():
+def test_link_to_an_instance_other_than_the_expected_one_is_rejected():
     async def main():
-        async def hold(link):
+        async def receive_one(link):
             await link.receive()
 
         server = await serve_links(
@@ -64,12 +64,12 @@
             port=0,
             make_link=_make_link("b"),
             hello=Hello,
-            handle=hold,
+            handle=receive_one,
         )
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         results = asyncio.Queue()
 
-        async def end_at_once(link):
+        async def send_one(link):
             link.send(Heartbeat())
 
         def dial(expected):
@@ -78,7 +78,7 @@
                     address=address,
                     make_link=_make_link("a"),
                     hello=Hello,
-                    handle=end_at_once,
+                    handle=send_one,
                     clock=SystemClock(),
                     rng=random.Random(1),
                     expected=expected,
@@ -86,9 +86,9 @@
                 )
             )
 
-        for expected, linked in (("c", False), ("b", True)):
+        for expected, is_accepted in (("c", False), ("b", True)):
             task = dial(expected)
-            assert await results.get() is linked
+            assert await results.get() is is_accepted
             task.cancel()
         server.close()
 
--- a/packages/magnoliagrade/magnoliagrade/wire/work.capnp
+++ b/packages/magnoliagrade/magnoliagrade/wire/work.capnp
@@ -1,6 +1,6 @@
 @0xd2a1f0c48be37a95;
-# Messages between entries that send work straight to endpoints, and between agents
-# of the ranks of one group.
+# Messages between direct entries, which send requests straight to endpoints, and
+# between the agents of one group's ranks.
 
 struct EndpointWork {
   endpoint @0 :Text;
@@ -8,7 +8,7 @@
 }
 
 struct WorkInFlight {
-  isComplete @0 :Bool;       # endpoints that are not listed have none
+  isComplete @0 :Bool;       # true: endpoints that are not listed have none in flight
   endpoints @1 :List(EndpointWork);
 }
 
@@ -16,7 +16,7 @@
   call @0 :UInt64;           # number of the call on its link
   operation @1 :Text;
   epoch @2 :UInt64;
-  version @3 :UInt64;        # of an expert map
+  version @3 :UInt64;        # version of the expert map
   step @4 :UInt64;
   placement @5 :Data;        # packed expert map
 }
@@ -26,12 +26,12 @@
   outcome @1 :Text;
   status @2 :Data;           # JSON of the rank's status
   counts @3 :Data;           # tokens by set and expert, little-endian 64 bits each
-  tries @4 :UInt32;          # how often an order was given until its effect was seen
+  tries @4 :UInt32;          # number of times an order was sent until it took effect
 }
 
 struct ServiceOutage {
   service @0 :Text;
-  isOut @1 :Bool;            # false: the service has answered again
+  isOut @1 :Bool;            # false: the service has responded again
 }
 
 struct WorkMessage {
--- a/packages/magnoliagrade/magnoliagrade/wire/work.py
+++ b/packages/magnoliagrade/magnoliagrade/wire/work.py
@@ -1,4 +1,4 @@
-"""Messages between direct entries, and between agents of a group's ranks."""
+"""Messages between direct entries, and between the agents of a group's ranks."""
 
 from dataclasses import dataclass, field
 
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class EndpointWork:
-    """How many requests the sender has in flight at one endpoint."""
+    """Number of requests that the sender has in flight at one endpoint."""
 
     endpoint: str = ""
     in_flight: int = 0
@@ -17,7 +17,10 @@
 
 @message("work", "inFlight")
 class WorkInFlight:
-    """An entry tells a peer what it has in flight; unlisted rows are unchanged."""
+    """An entry reports its requests in flight to a peer.
+
+    Endpoints that are not listed have none if `is_complete`, else they are unchanged.
+    """
 
     is_complete: bool = False
     endpoints: list = field(default_factory=list, metadata={"of": EndpointWork})
@@ -25,7 +28,7 @@
 
 @message("work", "rankCall")
 class RankCall:
-    """A coordinator asks an agent for something about its rank."""
+    """A coordinator calls an operation on an agent's rank."""
 
     call: int = 0
     operation: str = ""
@@ -37,7 +40,7 @@
 
 @message("work", "rankReply")
 class RankReply:
-    """What an agent found or did at its rank."""
+    """Result of a coordinator's call at an agent's rank."""
 
     call: int = 0
     outcome: str = ""
@@ -48,7 +51,7 @@
 
 @message("work", "serviceOutage")
 class ServiceOutage:
-    """An entry tells its peers that a service's group is broken, or back."""
+    """An entry reports that a service's group is unavailable, or available again."""
 
     service: str = ""
     is_out: bool = False
