--- a/packages/magnoliagrade/magnoliagrade/observability/__init__.py
+++ b/packages/magnoliagrade/magnoliagrade/observability/__init__.py
@@ -1,7 +1,7 @@
 """Logs, traces and metrics."""
 
 from magnoliagrade.observability.logs import (
-    BoundedHandler,
+    RateLimitedHandler,
     configure_logging,
     log_event,
 )
@@ -14,7 +14,7 @@
 )
 
 __all__ = [
-    "BoundedHandler",
+    "RateLimitedHandler",
     "configure_logging",
     "configure_tracing",
     "extract_context",
--- a/packages/magnoliagrade/magnoliagrade/observability/logs.py
+++ b/packages/magnoliagrade/magnoliagrade/observability/logs.py
@@ -7,37 +7,37 @@
 
 from pythonjsonlogger.json import JsonFormatter
 
-__all__ = ["BoundedHandler", "configure_logging", "log_event"]
+__all__ = ["RateLimitedHandler", "configure_logging", "log_event"]
 
-# A pipe that is ready for writing takes this much without blocking (POSIX).
-LINE_LIMIT_BYTES = 4096
-# Lines that may come at once, as a span of the allowed rate.
+# A pipe that polls as writable accepts this many bytes without blocking (POSIX).
+MAX_LINE_BYTES = 4096
+# Capacity of the token bucket of lines, in seconds of the allowed rate.
 BURST_S = 5.0
 
 
 def configure_logging(
     *, instance, data_centre, level="INFO", stream=None, lines_per_s=None
 ):
-    """Write every log record as one JSON line.
+    """Configure the root logger to write every record as one JSON line.
 
     Parameters
     ----------
     instance : str
         Name of the instance, added to each line.
     data_centre : str
-        Its data centre, added to each line.
+        Data centre of the instance, added to each line.
     level : str
-        Lowest level that is written.
+        Lowest level of the records that are written.
     stream : file, optional
-        Where to write; standard error by default.
+        Stream to write to; standard error by default.
     lines_per_s : float, optional
-        Lines that are written at most, on average; no limit by default.
+        Highest average rate of written lines; no limit by default.
     """
     stream = stream or sys.stderr
     if lines_per_s is None:
         handler = logging.StreamHandler(stream)
     else:
-        handler = BoundedHandler(stream=stream, lines_per_s=lines_per_s)
+        handler = RateLimitedHandler(stream=stream, lines_per_s=lines_per_s)
     handler.setFormatter(
         JsonFormatter(
             "%(levelname)s %(name)s %(message)s",
@@ -52,39 +52,40 @@
     logging.getLogger("aiohttp.access").setLevel("WARNING")
 
 
-class BoundedHandler(logging.StreamHandler):
-    """Handler that never blocks and writes a bounded number of lines.
+class RateLimitedHandler(logging.StreamHandler):
+    """Stream handler that never blocks and limits the rate of lines.
 
     Parameters
     ----------
     stream : file
-        Where to write.
+        Stream to write to.
     lines_per_s : float
-        Lines that are written at most, on average.
+        Highest average rate of written lines.
     now : callable
         Returns monotonic seconds.
 
     Notes
     -----
-    What is left out is counted, and a line tells the count once there is room. Lines
-    of warnings and errors may use the whole allowance, others leave a part of it.
+    The rate is limited by a token bucket. Dropped records are counted, and the next
+    written line has the count in `lines_dropped_before`. Warnings and errors may use
+    all tokens; records of lower levels leave `RESERVED_BURST_FRACTION` of the bucket.
     """
 
-    # Part of the burst that is kept for warnings and errors.
-    RESERVE = 0.2
+    # Fraction of the burst that only warnings and errors may use.
+    RESERVED_BURST_FRACTION = 0.2
 
     def __init__(self, *, stream, lines_per_s, now=time.monotonic):
         super().__init__(stream)
         self._rate = lines_per_s
         self._now = now
-        self._at = now()
-        self._level = lines_per_s * BURST_S
+        self._updated_at = now()
+        self._tokens = lines_per_s * BURST_S
         self._dropped = 0
-        self._poll = _writability_of(stream)
+        self._poll = _write_poll_of(stream)
 
     def emit(self, record):
-        """Write a record, or count it if there is no room."""
-        if not self._may_write(record):
+        """Write a record, or count it as dropped if it can't be written now."""
+        if not self._take_token(record):
             self._dropped += 1
             return
         if self._dropped:
@@ -93,27 +94,33 @@
         super().emit(record)
 
     def format(self, record):
-        """Return the line of a record, cut to what a pipe takes at once."""
+        """Return the line of a record, truncated to what a pipe accepts at once."""
         line = super().format(record)
-        if len(line) >= LINE_LIMIT_BYTES:
-            return line[: LINE_LIMIT_BYTES - 2]
+        if len(line) >= MAX_LINE_BYTES:
+            return line[: MAX_LINE_BYTES - 2]
         return line
 
-    def _may_write(self, record):
+    def _take_token(self, record):
         now = self._now()
-        full = self._rate * BURST_S
-        self._level = min(full, self._level + (now - self._at) * self._rate)
-        self._at = now
-        reserve = 0 if record.levelno >= logging.WARNING else full * self.RESERVE
-        if self._level < reserve + 1:
+        capacity = self._rate * BURST_S
+        self._tokens = min(
+            capacity, self._tokens + (now - self._updated_at) * self._rate
+        )
+        self._updated_at = now
+        reserve = (
+            0
+            if record.levelno >= logging.WARNING
+            else capacity * self.RESERVED_BURST_FRACTION
+        )
+        if self._tokens < reserve + 1:
             return False
         if self._poll is not None and not self._poll.poll(0):
             return False
-        self._level -= 1
+        self._tokens -= 1
         return True
 
 
-def _writability_of(stream):
+def _write_poll_of(stream):
     try:
         descriptor = stream.fileno()
     except (AttributeError, OSError):
@@ -124,17 +131,17 @@
 
 
 def log_event(logger, event, /, *, level=logging.INFO, **fields):
-    """Write one event with typed fields.
+    """Log one event with its fields.
 
     Parameters
     ----------
     logger : logging.Logger
-        Logger of the module.
+        Logger of the calling module.
     event : str
-        Stable name of the event, dotted.
+        Stable dotted name of the event.
     level : int
         Level of the record.
     **fields
-        Values that may be written; never bodies and never keys.
+        Fields of the event; never request or response bodies, never API keys.
     """
     logger.log(level, event, extra=fields)
--- a/packages/magnoliagrade/magnoliagrade/observability/tests/test_traces.py
+++ b/packages/magnoliagrade/magnoliagrade/observability/tests/test_traces.py
@@ -39,11 +39,11 @@
     return {s["name"]: s for s in spans}, done.stdout.strip()
 
 
-def _is_recorded(traceparent):
+def _is_sampled(traceparent):
     return bool(int(traceparent.rpartition("-")[2], 16) & 1)
 
 
-def test_caller_that_records_is_followed_whatever_the_sampling():
+def test_trace_that_the_caller_samples_is_sampled_at_any_sampling_fraction():
     spans, onward = _trace(0, CALLER.format(flags="01"))
     assert spans["outer"]["parent_id"] == "0x00f067aa0ba902b7"
     assert spans["inner"]["parent_id"] == spans["outer"]["context"]["span_id"]
@@ -51,20 +51,20 @@
     assert onward == f"00-4bf92f3577b34da6a3ce929d0e0e4736-{inner_id}-01"
 
 
-def test_caller_that_does_not_record_is_followed_too():
+def test_trace_that_the_caller_does_not_sample_is_not_sampled():
     spans, onward = _trace(1, CALLER.format(flags="00"))
     assert spans == {}
     assert onward == CALLER.format(flags="00")
 
 
-def test_new_trace_is_recorded_by_sampling_alone():
+def test_new_trace_is_sampled_by_the_sampling_fraction():
     spans, onward = _trace(1)
-    assert set(spans) == {"outer", "inner"} and _is_recorded(onward)
+    assert set(spans) == {"outer", "inner"} and _is_sampled(onward)
     spans, onward = _trace(0)
-    assert spans == {} and not _is_recorded(onward)
+    assert spans == {} and not _is_sampled(onward)
 
 
-def test_spans_go_to_the_collector_when_one_is_set():
+def test_spans_are_sent_to_the_collector_when_an_otlp_url_is_set():
     received = []
 
     class Collector(http.server.BaseHTTPRequestHandler):
--- a/packages/magnoliagrade/magnoliagrade/observability/traces.py
+++ b/packages/magnoliagrade/magnoliagrade/observability/traces.py
@@ -1,4 +1,4 @@
-"""Traces with a span for each hop, exported by OTLP or as JSON lines."""
+"""Tracing with one span for each hop, exported by OTLP or as JSON lines."""
 
 import contextlib
 import json
@@ -9,7 +9,7 @@
 from opentelemetry.trace.propagation.tracecontext import TraceContextTextMapPropagator
 
 __all__ = [
-    "HopTracer",
+    "SamplingAwareTracer",
     "configure_tracing",
     "extract_context",
     "get_tracer",
@@ -20,8 +20,8 @@
 _PROPAGATOR = TraceContextTextMapPropagator()
 
 
-class HopTracer:
-    """Tracer that leaves the work of recording out where a trace is not recorded.
+class SamplingAwareTracer:
+    """Tracer that creates no span for a trace that isn't sampled.
 
     Parameters
     ----------
@@ -30,14 +30,14 @@
 
     Notes
     -----
-    The library builds each span in full before its sampler refuses it. Most
-    requests are not recorded, so their hops only hand on the context.
+    OpenTelemetry builds each span completely before its sampler drops it. Most
+    requests aren't sampled, so their hops only propagate the trace context.
     """
 
     __slots__ = ("_tracer",)
 
-    # Whether this process records any trace that no caller began.
-    records_new_traces = False
+    # Whether this process samples any of the traces that it starts itself.
+    samples_new_traces = False
 
     def __init__(self, *, name):
         self._tracer = trace.get_tracer(name)
@@ -45,14 +45,14 @@
     def start_as_current_span(
         self, name, *, context=None, kind=trace.SpanKind.INTERNAL, attributes=None
     ):
-        """Return a context manager in which a span is current.
+        """Return a context manager within which a new span is the current one.
 
         Parameters
         ----------
         name : str
             Name of the span.
         context : opentelemetry.context.Context, optional
-            Holds the parent; the current context by default.
+            Context with the parent span; the current context by default.
         kind : SpanKind
             Role of the hop.
         attributes : dict, optional
@@ -60,8 +60,8 @@
         """
         parent = trace.get_current_span(context)
         parent_context = parent.get_span_context()
-        if not parent_context.is_valid and not HopTracer.records_new_traces:
-            return trace.use_span(_new_unrecorded_span())
+        if not parent_context.is_valid and not SamplingAwareTracer.samples_new_traces:
+            return trace.use_span(_new_unsampled_span())
         if not parent_context.is_valid or parent_context.trace_flags.sampled:
             return self._tracer.start_as_current_span(
                 name, context=context, kind=kind, attributes=attributes
@@ -79,29 +79,32 @@
     name : str
         Name of the module.
     """
-    return HopTracer(name=name)
+    return SamplingAwareTracer(name=name)
 
 
 def configure_tracing(*, instance, otlp_url="", sampling=0.0, stream=None):
-    """Set up the process's tracer.
+    """Set up the tracer provider of the process and return it.
 
     Parameters
     ----------
     instance : str
         Name of the instance, the `service.instance.id` of its spans.
     otlp_url : str
-        Where to send spans by OTLP over HTTP; empty writes JSON lines.
+        URL to send spans to by OTLP over HTTP; if empty, spans are written as JSON
+        lines.
     sampling : float
-        Fraction of new traces that are recorded; a caller's choice is kept.
+        Fraction of new traces that are sampled; the decision of a caller that sends a
+        trace context is kept.
     stream : file, optional
-        Where JSON lines go; standard error by default.
+        Stream for JSON lines; standard error by default.
 
     Returns
     -------
     provider : TracerProvider
-        To be shut down when the process ends.
+        Provider, to be shut down when the process ends.
     """
-    # Loaded only by processes that trace: they take several MB.
+    # Imported here because only processes that trace need them, and they take several
+    # MB of memory.
     from opentelemetry.sdk.resources import Resource
     from opentelemetry.sdk.trace import TracerProvider
     from opentelemetry.sdk.trace.export import BatchSpanProcessor, ConsoleSpanExporter
@@ -121,27 +124,27 @@
         exporter = OTLPSpanExporter(endpoint=otlp_url)
     else:
         exporter = ConsoleSpanExporter(
-            out=stream or sys.stderr, formatter=_span_as_line
+            out=stream or sys.stderr, formatter=_span_to_json_line
         )
     provider.add_span_processor(BatchSpanProcessor(exporter))
     trace.set_tracer_provider(provider)
-    HopTracer.records_new_traces = sampling > 0
+    SamplingAwareTracer.samples_new_traces = sampling > 0
     return provider
 
 
 def extract_context(headers):
-    """Return the trace context of incoming headers, or None if they have none."""
+    """Return the trace context in incoming headers, or None if they have none."""
     if TRACEPARENT not in headers:
         return None
     return _PROPAGATOR.extract(carrier={k.lower(): v for k, v in headers.items()})
 
 
 def inject_context(headers, context=None):
-    """Write the current trace context into outgoing headers."""
+    """Write a trace context, by default the current one, into outgoing headers."""
     _PROPAGATOR.inject(carrier=headers, context=context)
 
 
-def _new_unrecorded_span():
+def _new_unsampled_span():
     context = trace.SpanContext(
         trace_id=secrets.randbits(128) or 1,
         span_id=secrets.randbits(64) or 1,
@@ -150,5 +153,5 @@
     return trace.NonRecordingSpan(context)
 
 
-def _span_as_line(span):
+def _span_to_json_line(span):
     return json.dumps({"span": json.loads(span.to_json(indent=None))}) + "\n"
