--- a/packages/magnoliagrade/magnoliagrade/__init__.py
+++ b/packages/magnoliagrade/magnoliagrade/__init__.py
@@ -1,10 +1,9 @@
 """Shared library of the magnoliagrade load balancer.
 
-The package holds what every process of the system needs: the objects of the
-world it balances (`world`), plain algorithms over plain data (`algorithms`),
-the operators' configuration (`configuration`), messages between own processes
-(`wire`), clients of the platform (`platform`), and logs, traces and metrics
-(`observability`).
+The package has what every process of the system needs: the objects that are balanced
+(`world`), algorithms on plain data (`algorithms`), the operators' configuration
+(`configuration`), messages between processes (`wire`), clients of the operators'
+platform (`platform`), and logs, traces and metrics (`observability`).
 """
 
 from magnoliagrade.errors import ErrorKind, MagnoliagradeError
--- a/packages/magnoliagrade/magnoliagrade/clock.py
+++ b/packages/magnoliagrade/magnoliagrade/clock.py
@@ -1,4 +1,4 @@
-"""Clock interface, the system's clock and a clock that tests advance."""
+"""Interface of clocks, the system's clock, and a clock that tests advance."""
 
 import asyncio
 import heapq
@@ -11,13 +11,13 @@
 
 
 class Clock(Protocol):
-    """Source of time that is passed to whatever waits or measures."""
+    """Source of time, passed to all code that waits or measures time."""
 
     def monotonic(self):
-        """Return seconds since an arbitrary start; never decreases."""
+        """Return the seconds since an arbitrary start; they never decrease."""
 
     def boot_time(self):
-        """Return seconds since an arbitrary start, time in suspend included."""
+        """Return the seconds since an arbitrary start, including time in suspend."""
 
     def now(self):
         """Return the wall-clock time as an aware `datetime` in UTC."""
@@ -36,7 +36,7 @@
         return time.monotonic()
 
     def boot_time(self):
-        """Return seconds since the machine booted, time in suspend included."""
+        """Return the seconds since the machine booted, including time in suspend."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def now(self):
@@ -49,12 +49,12 @@
 
 
 class ManualClock:
-    """Clock that only moves when `advance` is called.
+    """Clock that advances only when `advance` is called.
 
     Parameters
     ----------
     start : float
-        First monotonic reading in seconds.
+        Initial monotonic time in seconds.
     """
 
     __slots__ = ("_epoch", "_order", "_sleepers", "_time")
@@ -70,7 +70,7 @@
         return self._time
 
     def boot_time(self):
-        """Return the current manual time in seconds; it is never suspended."""
+        """Return the current manual time in seconds; there is no suspend."""
         return self._time
 
     def now(self):
@@ -78,22 +78,22 @@
         return self._epoch + timedelta(seconds=self._time)
 
     async def sleep(self, seconds):
-        """Wait until `advance` has moved the clock far enough."""
+        """Wait until the clock has been advanced by a number of seconds."""
         if seconds <= 0:
             await asyncio.sleep(0)
             return
         woken = asyncio.get_running_loop().create_future()
-        entry = (self._time + seconds, next(self._order), woken)
-        heapq.heappush(self._sleepers, entry)
+        sleeper = (self._time + seconds, next(self._order), woken)
+        heapq.heappush(self._sleepers, sleeper)
         await woken
 
     async def advance(self, seconds):
-        """Move the clock and wake every sleeper whose time has come.
+        """Advance the clock and wake every sleeper that is due, in order of time.
 
         Parameters
         ----------
         seconds : float
-            How far to move.
+            Time to advance by.
         """
         target = self._time + seconds
         while self._sleepers and self._sleepers[0][0] <= target:
@@ -107,6 +107,6 @@
 
 
 async def _let_tasks_run():
-    # One pass of the loop is not enough for chains of tasks that wake each other.
+    # Tasks that wake each other in a chain need several passes of the event loop.
     for _ in range(5):
         await asyncio.sleep(0)
--- a/packages/magnoliagrade/magnoliagrade/early_start.py
+++ b/packages/magnoliagrade/magnoliagrade/early_start.py
@@ -1,7 +1,9 @@
-"""What a process does before it imports its libraries, which takes most of its start.
+"""Steps that a process takes before it imports its libraries.
 
-Load pattern: many processes are killed at once. Callers whose connections are refused
-come back at once, and only once; connections that are accepted wait for the process.
+The imports take most of the start-up time.
+
+Load pattern: many processes are killed at once. A caller whose connection is refused
+retries immediately, and only once; an accepted connection waits for the process.
 """
 
 import configparser
@@ -10,38 +12,41 @@
 
 __all__ = ["open_listener", "skip_ca_certificates"]
 
-# Connections that wait for the process: about a second of a busy entry's callers.
-BACKLOG_CONNECTIONS = 128
+# Connections that wait for the process: about 1 s of new connections at a busy entry.
+LISTEN_BACKLOG_CONNECTIONS = 128
 
 
 def open_listener(file, *, section, option):
-    """Return a socket that listens on an address of a settings file, or None.
+    """Return a socket that listens on the address in a settings file, or None.
 
     Parameters
     ----------
     file : str
-        Settings in INI.
+        Path of the settings file, in INI format.
     section, option : str
-        Where the `host:port` stands.
+        Section and option that have the `host:port`.
 
     Notes
     -----
-    Mistakes in the file, and an address that is in use, are reported by the process
-    itself once it reads its settings and listens; here they give None.
+    Returns None if the file has an error or the address is in use. The process
+    reports the error later, when it reads its settings and listens.
     """
     parser = configparser.ConfigParser(interpolation=None)
     try:
         parser.read(file)
         host, _, port = parser[section][option].rpartition(":")
-        return socket.create_server((host, int(port)), backlog=BACKLOG_CONNECTIONS)
+        return socket.create_server(
+            (host, int(port)), backlog=LISTEN_BACKLOG_CONNECTIONS
+        )
     except (configparser.Error, KeyError, OSError, OverflowError, ValueError):
         return None
 
 
 def skip_ca_certificates():
-    """Spare the HTTP library the certificates that it would load when it is imported.
+    """Prevent the HTTP library from loading the CA certificates when it is imported.
 
-    The direct processes speak no TLS, and the certificates take a fifth of a start.
+    The direct processes don't use TLS, and loading the certificates takes a fifth of
+    the start-up time.
     """
     os.environ["SSL_CERT_FILE"] = os.devnull
     os.environ["SSL_CERT_DIR"] = os.devnull
--- a/packages/magnoliagrade/magnoliagrade/errors.py
+++ b/packages/magnoliagrade/magnoliagrade/errors.py
@@ -1,4 +1,4 @@
-"""The closed list of error kinds and the one table from kind to response."""
+"""Closed list of error kinds, and the table of the response to each kind."""
 
 import enum
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
 
 
 class ErrorKind(enum.Enum):
-    """Every kind of error that the product reports; the list is closed."""
+    """Kind of an error; the list is closed."""
 
     INVALID_REQUEST = "INVALID_REQUEST"
     UNAUTHENTICATED = "UNAUTHENTICATED"
@@ -44,7 +44,7 @@
 
 
 class Ran(enum.Enum):
-    """Whether the request that an error answers has run at its back end."""
+    """Whether the request that failed has run at its back end."""
 
     YES = "yes"
     NO = "no"
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ErrorResponse:
-    """What a caller is told about one kind of error.
+    """Response to a caller for one kind of error.
 
     Parameters
     ----------
@@ -62,9 +62,9 @@
     ran : Ran
         Whether the request ran at its back end.
     retryable : bool
-        Whether the same request may be sent again and can be expected to differ.
+        Whether the same request may be sent again with a chance of another outcome.
     title : str
-        One-line summary for people.
+        Human-readable summary of one line.
     """
 
     status: int
@@ -73,50 +73,52 @@
     title: str
 
 
-def _answer(status, ran, retryable, title):
+def _response(status, ran, retryable, title):
     return ErrorResponse(status=status, ran=ran, retryable=retryable, title=title)
 
 
-_K = ErrorKind
+_Kind = ErrorKind
 RESPONSE_BY_KIND = {
-    _K.INVALID_REQUEST: _answer(400, Ran.NO, False, "The request is malformed"),
-    _K.UNAUTHENTICATED: _answer(401, Ran.NO, False, "The key is not known"),
-    _K.NO_ROUTE: _answer(404, Ran.NO, False, "Nothing serves this request"),
-    _K.CONFLICT: _answer(409, Ran.NO, True, "Another change came first"),
-    _K.ALREADY_CLAIMED: _answer(409, Ran.UNKNOWN, False, "A copy was dispatched"),
-    _K.TOO_LARGE: _answer(413, Ran.NO, False, "The request is too large"),
-    _K.KEY_REUSED: _answer(422, Ran.NO, False, "The key belongs to another body"),
-    _K.LIMITED: _answer(429, Ran.NO, True, "The organisation's share is used up"),
-    _K.OVERLOADED: _answer(503, Ran.NO, True, "There is no capacity"),
-    _K.NOT_RUN: _answer(503, Ran.NO, True, "No back end took the request"),
-    _K.SHUTTING_DOWN: _answer(503, Ran.NO, True, "The instance is leaving"),
-    _K.UPSTREAM_FAILED: _answer(502, Ran.YES, False, "The back end failed"),
-    _K.OUTCOME_UNKNOWN: _answer(504, Ran.UNKNOWN, False, "The outcome is not known"),
-    _K.DEADLINE: _answer(504, Ran.UNKNOWN, False, "The deadline passed"),
-    _K.DEADLINE_NOT_RUN: _answer(504, Ran.NO, True, "The deadline cannot be met"),
-    _K.ANSWER_BROKEN: _answer(502, Ran.YES, False, "The answer broke off"),
-    _K.INTERNAL: _answer(500, Ran.UNKNOWN, False, "The product failed"),
-    _K.CONFIGURATION_INVALID: _answer(400, Ran.NO, False, "Configuration refused"),
-    _K.CONFIGURATION_STALE: _answer(409, Ran.NO, True, "Configuration is older"),
-    _K.SETTINGS_INVALID: _answer(400, Ran.NO, False, "Settings refused"),
-    _K.STORE_UNAVAILABLE: _answer(503, Ran.NO, True, "The store does not answer"),
-    _K.STORE_LIMITED: _answer(503, Ran.NO, True, "The store's rate is used up"),
-    _K.WIRE_INVALID: _answer(400, Ran.NO, False, "A message cannot be read"),
-    _K.FENCED: _answer(409, Ran.NO, False, "The fencing number is old"),
+    _Kind.INVALID_REQUEST: _response(400, Ran.NO, False, "The request is malformed"),
+    _Kind.UNAUTHENTICATED: _response(401, Ran.NO, False, "The key is not known"),
+    _Kind.NO_ROUTE: _response(404, Ran.NO, False, "Nothing serves this request"),
+    _Kind.CONFLICT: _response(409, Ran.NO, True, "Another change came first"),
+    _Kind.ALREADY_CLAIMED: _response(409, Ran.UNKNOWN, False, "A copy was dispatched"),
+    _Kind.TOO_LARGE: _response(413, Ran.NO, False, "The request is too large"),
+    _Kind.KEY_REUSED: _response(422, Ran.NO, False, "The key belongs to another body"),
+    _Kind.LIMITED: _response(429, Ran.NO, True, "The organisation's share is used up"),
+    _Kind.OVERLOADED: _response(503, Ran.NO, True, "There is no capacity"),
+    _Kind.NOT_RUN: _response(503, Ran.NO, True, "No back end took the request"),
+    _Kind.SHUTTING_DOWN: _response(503, Ran.NO, True, "The instance is leaving"),
+    _Kind.UPSTREAM_FAILED: _response(502, Ran.YES, False, "The back end failed"),
+    _Kind.OUTCOME_UNKNOWN: _response(
+        504, Ran.UNKNOWN, False, "The outcome is not known"
+    ),
+    _Kind.DEADLINE: _response(504, Ran.UNKNOWN, False, "The deadline passed"),
+    _Kind.DEADLINE_NOT_RUN: _response(504, Ran.NO, True, "The deadline cannot be met"),
+    _Kind.ANSWER_BROKEN: _response(502, Ran.YES, False, "The answer broke off"),
+    _Kind.INTERNAL: _response(500, Ran.UNKNOWN, False, "The product failed"),
+    _Kind.CONFIGURATION_INVALID: _response(400, Ran.NO, False, "Configuration refused"),
+    _Kind.CONFIGURATION_STALE: _response(409, Ran.NO, True, "Configuration is older"),
+    _Kind.SETTINGS_INVALID: _response(400, Ran.NO, False, "Settings refused"),
+    _Kind.STORE_UNAVAILABLE: _response(503, Ran.NO, True, "The store does not answer"),
+    _Kind.STORE_LIMITED: _response(503, Ran.NO, True, "The store's rate is used up"),
+    _Kind.WIRE_INVALID: _response(400, Ran.NO, False, "A message cannot be read"),
+    _Kind.FENCED: _response(409, Ran.NO, False, "The fencing number is old"),
 }
 
 
 class MagnoliagradeError(Exception):
-    """An error of a kind from the closed list.
+    """Error of one of the kinds in the closed list.
 
     Parameters
     ----------
     kind : ErrorKind
         Kind of the error.
     detail : str
-        What happened, naming the offending value.
+        What happened, with the value that caused it.
     retry_after : float, optional
-        Seconds after which another attempt makes sense.
+        Seconds after which another attempt may succeed.
     """
 
     def __init__(self, kind, detail, *, retry_after=None):
@@ -127,7 +129,7 @@
 
 
 def response_of(kind):
-    """Return the response that belongs to a kind of error.
+    """Return the response to a kind of error.
 
     Parameters
     ----------
@@ -137,7 +139,7 @@
     Returns
     -------
     response : ErrorResponse
-        Status, whether the request ran, and whether to retry.
+        Status, whether the request ran, whether to retry, and title.
 
     Examples
     --------
@@ -160,16 +162,16 @@
     Returns
     -------
     body : dict
-        Mapping ready for JSON.
+        Problem details, ready to be encoded as JSON.
     """
-    answer = response_of(error.kind)
+    response = response_of(error.kind)
     return {
         "type": "about:blank",
-        "title": answer.title,
-        "status": answer.status,
+        "title": response.title,
+        "status": response.status,
         "detail": error.detail,
         "code": error.kind.value,
-        "ran": answer.ran.value,
-        "retryable": answer.retryable,
+        "ran": response.ran.value,
+        "retryable": response.retryable,
         "instance": request_id,
     }
--- a/packages/magnoliagrade/magnoliagrade/identity.py
+++ b/packages/magnoliagrade/magnoliagrade/identity.py
@@ -1,4 +1,4 @@
-"""Identifiers of instances, their incarnations, requests and attempts."""
+"""Identifiers of instances, incarnations, requests and attempts."""
 
 import itertools
 import secrets
@@ -8,7 +8,7 @@
 
 
 def new_incarnation():
-    """Return a random 64-bit number that names one run of a process."""
+    """Return a random 64-bit number that identifies one run of a process."""
     return secrets.randbits(64)
 
 
@@ -19,14 +19,14 @@
 
 @dataclass(slots=True, kw_only=True)
 class InstanceIdentity:
-    """Who a process is.
+    """Identity of a process.
 
     Parameters
     ----------
     instance : str
         Name of the instance from its settings.
     incarnation : int
-        Random number drawn when the process started.
+        Random number that was drawn when the process started.
     data_centre : str
         Name of the data centre from its settings.
     """
@@ -34,12 +34,12 @@
     instance: str
     incarnation: int
     data_centre: str
-    _numbers: itertools.count = None
+    _attempt_numbers: itertools.count = None
 
     def __post_init__(self):
         """Start numbering the attempts of this incarnation."""
-        self._numbers = itertools.count(1)
+        self._attempt_numbers = itertools.count(1)
 
     def new_attempt_id(self):
         """Return an attempt id that no other attempt of any process has."""
-        return f"{self.instance}.{self.incarnation:016x}.{next(self._numbers)}"
+        return f"{self.instance}.{self.incarnation:016x}.{next(self._attempt_numbers)}"
--- a/packages/magnoliagrade/magnoliagrade/lazy_exports.py
+++ b/packages/magnoliagrade/magnoliagrade/lazy_exports.py
@@ -1,4 +1,4 @@
-"""Re-exports of a package that are imported when they are first used."""
+"""Lazy re-exports of a package, imported when they are first used."""
 
 import importlib
 
@@ -6,19 +6,19 @@
 
 
 def lazy_exports(package, module_by_name):
-    """Return the `__getattr__` of a package that imports its re-exports lazily.
+    """Return a `__getattr__` for a package that imports its re-exports on first use.
 
     Parameters
     ----------
     package : str
         Name of the package.
     module_by_name : dict of str to str
-        Module that each re-exported name is imported from.
+        Module that each re-exported name is imported from, by name.
 
     Notes
     -----
-    Direct processes need little of their packages, and listen before they import it:
-    libraries take memory and most of the start-up time.
+    Direct processes need only a small part of their packages, and listen before they
+    import it: libraries take memory and most of the start-up time.
 
     Examples
     --------
--- a/packages/magnoliagrade/magnoliagrade/registry.py
+++ b/packages/magnoliagrade/magnoliagrade/registry.py
@@ -1,15 +1,15 @@
-"""Registries of interchangeable behaviour, filled by decorators."""
+"""Registries of interchangeable implementations, filled by decorators."""
 
 __all__ = ["Registry"]
 
 
 class Registry:
-    """Named variants of one behaviour.
+    """Implementations of one kind of behaviour, by name.
 
     Parameters
     ----------
     family : str
-        What the variants are variants of, for error messages.
+        Kind of behaviour, as named in error messages.
 
     Examples
     --------
@@ -28,34 +28,34 @@
         self.by_name = {}
 
     def register(self, name):
-        """Return a decorator that files its argument under a name.
+        """Return a decorator that registers an implementation under a name.
 
         Parameters
         ----------
         name : str
-            Name used in settings and configuration.
+            Name of the implementation in settings and configuration.
 
         Raises
         ------
         ValueError
-            If the name is taken.
+            If the name is already registered.
         """
 
-        def file_under_name(variant):
+        def register_implementation(implementation):
             if name in self.by_name:
-                raise ValueError(f"{self.family} {name!r} is registered already")
-            self.by_name[name] = variant
-            return variant
+                raise ValueError(f"{self.family} {name!r} is already registered")
+            self.by_name[name] = implementation
+            return implementation
 
-        return file_under_name
+        return register_implementation
 
     def get(self, name):
-        """Return the variant of a name.
+        """Return the implementation that is registered under a name.
 
         Raises
         ------
         KeyError
-            If there is no such variant.
+            If no implementation has the name.
         """
         if name not in self.by_name:
             known = ", ".join(sorted(self.by_name))
@@ -63,5 +63,5 @@
         return self.by_name[name]
 
     def names(self):
-        """Return the registered names in order."""
+        """Return the registered names in alphabetical order."""
         return sorted(self.by_name)
--- a/packages/magnoliagrade/magnoliagrade/tests/test_clock.py
+++ b/packages/magnoliagrade/magnoliagrade/tests/test_clock.py
@@ -3,7 +3,7 @@
 from magnoliagrade.clock import ManualClock
 
 
-def test_sleepers_wake_in_order_of_time():
+def test_sleepers_wake_in_order_of_their_due_times():
     async def main():
         clock = ManualClock()
         woken = []
--- a/packages/magnoliagrade/magnoliagrade/tests/test_early_start.py
+++ b/packages/magnoliagrade/magnoliagrade/tests/test_early_start.py
@@ -4,14 +4,14 @@
 from magnoliagrade.early_start import open_listener
 
 
-def test_callers_are_accepted_before_the_process_has_imported_anything():
-    path = _settings("[listen]\ncaller_address = 127.0.0.1:0\n")
+def test_listener_accepts_connections_before_the_process_serves_them():
+    path = _write_settings("[listen]\ncaller_address = 127.0.0.1:0\n")
     listener = open_listener(path, section="listen", option="caller_address")
     with listener, socket.create_connection(listener.getsockname()[:2], timeout=5):
         pass
 
 
-def test_mistakes_are_left_to_the_check_of_the_settings():
+def test_invalid_settings_give_no_listener():
     for text in (
         "",
         "[listen]\n",
@@ -19,18 +19,18 @@
         "[listen]\ncaller_address = 127.0.0.1:99999\n",
         "no ini at all",
     ):
-        path = _settings(text)
+        path = _write_settings(text)
         assert open_listener(path, section="listen", option="caller_address") is None
 
 
-def test_an_address_in_use_is_left_to_the_process():
-    with socket.create_server(("127.0.0.1", 0)) as taken:
-        port = taken.getsockname()[1]
-        path = _settings(f"[listen]\ncaller_address = 127.0.0.1:{port}\n")
+def test_address_in_use_gives_no_listener():
+    with socket.create_server(("127.0.0.1", 0)) as other:
+        port = other.getsockname()[1]
+        path = _write_settings(f"[listen]\ncaller_address = 127.0.0.1:{port}\n")
         assert open_listener(path, section="listen", option="caller_address") is None
 
 
-def _settings(text):
+def _write_settings(text):
     with tempfile.NamedTemporaryFile("w", suffix=".ini", delete=False) as file:
         file.write(text)
     return file.name
--- a/packages/magnoliagrade/magnoliagrade/tests/test_errors.py
+++ b/packages/magnoliagrade/magnoliagrade/tests/test_errors.py
@@ -7,21 +7,21 @@
 )
 
 
-def test_every_kind_has_an_answer():
+def test_every_kind_has_a_response():
     assert set(RESPONSE_BY_KIND) == set(ErrorKind)
 
 
-def test_not_run_kinds_say_so():
+def test_rejecting_kinds_report_that_the_request_has_not_run():
     for kind in (ErrorKind.NOT_RUN, ErrorKind.OVERLOADED, ErrorKind.SHUTTING_DOWN):
         assert RESPONSE_BY_KIND[kind].ran is Ran.NO
 
 
-def test_what_may_have_run_is_never_retryable():
-    for kind, answer in RESPONSE_BY_KIND.items():
-        assert answer.ran is Ran.NO or not answer.retryable, kind
+def test_kinds_that_may_have_run_are_not_retryable():
+    for kind, response in RESPONSE_BY_KIND.items():
+        assert response.ran is Ran.NO or not response.retryable, kind
 
 
-def test_problem_details_name_the_code():
+def test_problem_details_contain_code_ran_status_and_request_id():
     error = MagnoliagradeError(ErrorKind.LIMITED, "share of 'x' used up")
     body = problem_details(error, request_id="r1")
     assert (body["code"], body["ran"], body["status"]) == ("LIMITED", "no", 429)
