--- a/packages/magnoliagrade/magnoliagrade/http/bodies.py
+++ b/packages/magnoliagrade/magnoliagrade/http/bodies.py
@@ -37,6 +37,11 @@
     def take(self, size):
         """Reserve a number of bytes of the budget.
 
+        Parameters
+        ----------
+        size : int
+            Number of bytes.
+
         Raises
         ------
         MagnoliagradeError
@@ -51,7 +56,13 @@
         self.held_bytes += size
 
     def release(self, size):
-        """Return a number of reserved bytes to the budget."""
+        """Return a number of reserved bytes to the budget.
+
+        Parameters
+        ----------
+        size : int
+            Number of bytes.
+        """
         self.held_bytes -= size
 
 
@@ -69,6 +80,11 @@
     budget : BodyBudget
         Budget that the size is reserved in; the caller releases it.
 
+    Returns
+    -------
+    body : bytes
+        Complete body.
+
     Raises
     ------
     MagnoliagradeError
--- a/packages/magnoliagrade/magnoliagrade/http/events.py
+++ b/packages/magnoliagrade/magnoliagrade/http/events.py
@@ -59,6 +59,11 @@
         data : bytes
             Next bytes of the stream.
 
+        Returns
+        -------
+        events : CompleteEvents
+            Events in order; without data if none is complete yet.
+
         Raises
         ------
         ValueError
--- a/packages/magnoliagrade/magnoliagrade/http/server.py
+++ b/packages/magnoliagrade/magnoliagrade/http/server.py
@@ -22,7 +22,7 @@
     "start_listener",
 ]
 
-# Longest time for which the rest of a request is read and dropped after its response.
+# Longest time for which the rest of a request is read and dropped after the response.
 LINGERING_TIME_S = 2.0
 # Connections that the kernel holds until they are accepted.
 LISTEN_BACKLOG_CONNECTIONS = 1024
--- a/packages/magnoliagrade/magnoliagrade/observability/tests/test_traces.py
+++ b/packages/magnoliagrade/magnoliagrade/observability/tests/test_traces.py
@@ -8,7 +8,7 @@
 from opentelemetry.proto.collector.trace.v1 import trace_service_pb2
 
 CALLER = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-{flags}"
-# The tracer provider is one per process, so each case runs in its own.
+# A process can set only one tracer provider, so each case runs in its own process.
 SCRIPT = """
 import sys
 from magnoliagrade.observability import (
--- a/packages/magnoliagrade/magnoliagrade/observability/traces.py
+++ b/packages/magnoliagrade/magnoliagrade/observability/traces.py
@@ -45,7 +45,10 @@
     def start_as_current_span(
         self, name, *, context=None, kind=trace.SpanKind.INTERNAL, attributes=None
     ):
-        """Return a context manager within which a new span is the current one.
+        """Return a context manager within which a span is the current one.
+
+        The span is new if the trace is sampled, else the parent span or, without a
+        parent, a span that isn't recorded.
 
         Parameters
         ----------
--- a/packages/magnoliagrade/magnoliagrade/wire/capacity.capnp
+++ b/packages/magnoliagrade/magnoliagrade/wire/capacity.capnp
@@ -2,7 +2,7 @@
 # Messages about credit, load and shared rates.
 
 struct CreditRequest {
-  wanted @0 :Float64;        # cost of a request that waits for credit
+  wanted @0 :Float64;        # cost of one more request that waits for credit
   inUse @1 :Float64;
   returned @2 :Float64;      # cost of a cancelled credit request
   isSurplus @3 :Bool;        # the organisation uses more than its share
--- a/packages/magnoliagrade/magnoliagrade/wire/connect.py
+++ b/packages/magnoliagrade/magnoliagrade/wire/connect.py
@@ -42,7 +42,7 @@
 
     async def on_connection(reader, writer):
         link = make_link(reader=reader, writer=writer)
-        # The stream protocol logs a cancelled connection task as an error.
+        # asyncio's stream protocol logs a cancelled connection task as an error.
         with contextlib.suppress(asyncio.CancelledError):
             await _run_link(link, hello, handle)
 
--- a/packages/magnoliagrade/magnoliagrade/wire/link.py
+++ b/packages/magnoliagrade/magnoliagrade/wire/link.py
@@ -9,6 +9,7 @@
 __all__ = ["MAX_MESSAGE_BYTES", "Link", "LinkCounters"]
 
 MAX_MESSAGE_BYTES = 4 * 1024 * 1024
+# Unsent bytes above which a link is aborted.
 MAX_BUFFERED_BYTES = 8 * 1024 * 1024
 _LENGTH_PREFIX = struct.Struct(">I")
 
@@ -83,7 +84,10 @@
         self.last_sequence_in = 0
 
     def send(self, message):
-        """Queue a message for sending; drop it if the link is closing.
+        """Queue a message for sending.
+
+        The message is dropped if the link is closing, or if the peer has left more than
+        `MAX_BUFFERED_BYTES` unread; the link is then aborted.
 
         Parameters
         ----------
