--- a/packages/magnoliagrade-agent/magnoliagrade_agent/group/service.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/group/service.py
@@ -13,7 +13,7 @@
     GenerationJoin,
     GroupState,
     StageAck,
-    keep_linked,
+    maintain_link,
 )
 from magnoliagrade.world import Role
 
@@ -276,7 +276,7 @@
         """Keep a link to the agent of each higher rank; reconnect if it breaks."""
         node = self.node
         dials = [
-            keep_linked(
+            maintain_link(
                 address=address,
                 make_link=node.make_link,
                 hello=node.hello,
