--- a/packages/magnoliagrade-agent/magnoliagrade_agent/direct/rank_directory.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/direct/rank_directory.py
@@ -6,7 +6,7 @@
 from magnoliagrade.errors import MagnoliagradeError
 from magnoliagrade.observability import log_event
 from magnoliagrade.platform import RankServer, list_endpoints
-from magnoliagrade.wire import keep_linked
+from magnoliagrade.wire import maintain_link
 
 from magnoliagrade_agent.direct.member import RankMember
 from magnoliagrade_agent.direct.ports import RankUnreachable, RemoteRankClient
@@ -134,7 +134,7 @@
             server=server, clock=node.clock, status_lag_s=REMOTE_STATUS_LAG_S
         )
         client = RemoteRankClient(name=server_address, remote=remote, server=server)
-        dialling = keep_linked(
+        dialling = maintain_link(
             address=f"{host}:{link_port}",
             make_link=node.make_link,
             hello=node.hello,
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/direct/upstream.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/direct/upstream.py
@@ -182,7 +182,7 @@
             url,
             data=request.body,
             headers=headers,
-            connect_s=CONNECT_TIMEOUT_S,
+            connect_timeout_s=CONNECT_TIMEOUT_S,
         )
     except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as exc:
         raise AttemptFailed(
--- a/packages/magnoliagrade/magnoliagrade/http/__init__.py
+++ b/packages/magnoliagrade/magnoliagrade/http/__init__.py
@@ -1,8 +1,8 @@
-"""Headers and responses shared by the HTTP hops."""
+"""HTTP listeners, clients, headers and bodies that all processes share."""
 
 from magnoliagrade.http.bodies import BodyBudget, read_body
 from magnoliagrade.http.client import send_once
-from magnoliagrade.http.events import EventCutter, WholeEvents
+from magnoliagrade.http.events import CompleteEvents, EventSplitter
 from magnoliagrade.http.headers import (
     check_incarnation,
     end_to_end_headers,
@@ -14,27 +14,27 @@
 from magnoliagrade.http.server import (
     ListenerLimits,
     change_limits,
-    coded_errors,
     listen,
     log_rejection,
+    problem_details_middleware,
     start_listener,
 )
 
 __all__ = [
     "BodyBudget",
-    "EventCutter",
+    "CompleteEvents",
+    "EventSplitter",
     "ListenerLimits",
     "RecordedResponse",
     "RecordingSink",
     "ResponseSink",
-    "WholeEvents",
     "change_limits",
     "check_incarnation",
-    "coded_errors",
     "end_to_end_headers",
     "error_response",
     "listen",
     "log_rejection",
+    "problem_details_middleware",
     "read_body",
     "read_request_headers",
     "send_once",
--- a/packages/magnoliagrade/magnoliagrade/wire/__init__.py
+++ b/packages/magnoliagrade/magnoliagrade/wire/__init__.py
@@ -1,4 +1,4 @@
-"""Messages between own processes: schema, codec, links."""
+"""Control messages between processes: schema, codec and links."""
 
 from magnoliagrade.wire.capacity import (
     CreditGrant,
@@ -16,7 +16,7 @@
     StatusPull,
     StatusReport,
 )
-from magnoliagrade.wire.connect import keep_linked, serve_links
+from magnoliagrade.wire.connect import maintain_link, serve_links
 from magnoliagrade.wire.group import (
     ArmAck,
     ArmSwitch,
@@ -59,11 +59,6 @@
 )
 
 __all__ = [
-    "EndpointWork",
-    "RankCall",
-    "RankReply",
-    "ServiceOutage",
-    "WorkInFlight",
     "MAX_MESSAGE_BYTES",
     "ArmAck",
     "ArmSwitch",
@@ -73,11 +68,10 @@
     "ConfigurationOffer",
     "ConfigurationPull",
     "ConfigurationWatch",
-    "StatusPull",
-    "StatusReport",
     "CountsRequest",
     "CreditGrant",
     "CreditRequest",
+    "EndpointWork",
     "EngineLoad",
     "Envelope",
     "ExpertCounts",
@@ -99,14 +93,20 @@
     "OutcomeQuery",
     "PeerSummary",
     "PoolSummary",
+    "RankCall",
+    "RankReply",
     "Revoke",
     "RevokeAnswer",
+    "ServiceOutage",
     "StageAck",
     "StageMap",
+    "StatusPull",
+    "StatusReport",
     "SwitchOutcome",
     "UsageReport",
+    "WorkInFlight",
     "decode",
     "encode",
-    "keep_linked",
+    "maintain_link",
     "serve_links",
 ]
