--- a/packages/magnoliagrade-entry/magnoliagrade_entry/instance.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/instance.py
@@ -25,7 +25,7 @@
 from magnoliagrade_entry.requests import (
     Dispatcher,
     ForwardedTable,
-    Revocations,
+    RevocationClient,
     admission_policies,
 )
 from magnoliagrade_entry.routing import EndpointDirectory, PeerDirectory, Router
@@ -102,7 +102,7 @@
         self.claims = ClaimGuard(node=self)
         self.forwarded = ForwardedTable(node=self)
         self.outcomes = OutcomeTable()
-        self.revocations = Revocations(node=self)
+        self.revocations = RevocationClient(node=self)
         self.link_keeper = LinkKeeper(node=self)
         self.duty = WatchDuty(node=self)
 
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/requests/__init__.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/requests/__init__.py
@@ -1,4 +1,4 @@
-"""What happens to one request: arrival, admission, attempts."""
+"""Reading, admission and dispatch of callers' requests."""
 
 from magnoliagrade_entry.requests.admission import Admission, admission_policies
 from magnoliagrade_entry.requests.admission_fair import FairAdmission
@@ -6,7 +6,7 @@
 from magnoliagrade_entry.requests.attempt import AttemptFailed, run_attempt
 from magnoliagrade_entry.requests.dispatch import Dispatcher
 from magnoliagrade_entry.requests.forwarded import ForwardedTable
-from magnoliagrade_entry.requests.revocation import Revocations
+from magnoliagrade_entry.requests.revocation import RevocationClient
 
 __all__ = [
     "Admission",
@@ -14,7 +14,7 @@
     "Dispatcher",
     "FairAdmission",
     "ForwardedTable",
-    "Revocations",
+    "RevocationClient",
     "admission_policies",
     "read_arrival",
     "request_id_of",
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/requests/admission.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/requests/admission.py
@@ -1,4 +1,4 @@
-"""Admission: which request may go on to be routed, and when."""
+"""Admission control: whether and when a request may be routed."""
 
 from typing import Protocol
 
@@ -7,28 +7,28 @@
 
 __all__ = ["Admission", "CappedAdmission", "admission_policies"]
 
-MAX_REQUESTS_IN_ENTRY = 4096
+MAX_CONCURRENT_REQUESTS = 4096
 
 admission_policies = Registry(family="admission policy")
 
 
 class Admission(Protocol):
-    """What decides whether and when a request may be routed."""
+    """Interface of the policies that admit or reject requests before routing."""
 
     async def admit(self, request):
-        """Wait for the request's turn.
+        """Return once the request may be routed.
 
-        Raises `LIMITED`, `OVERLOADED` or `DEADLINE_NOT_RUN`; the request did not
-        run then.
+        Raises `LIMITED`, `OVERLOADED` or `DEADLINE_NOT_RUN`, all of which mean
+        that the request did not run.
         """
 
     def release(self, request):
-        """Note that an admitted request has been answered."""
+        """Free what an admitted request holds, after its response or error."""
 
 
 @admission_policies.register("capped")
 class CappedAdmission:
-    """Baseline: first come, first served up to a cap.
+    """Baseline: admits each request up to a cap on concurrent requests.
 
     Parameters
     ----------
@@ -36,18 +36,18 @@
         The entry.
     """
 
-    __slots__ = ("_in_entry",)
+    __slots__ = ("_concurrent_count",)
 
     def __init__(self, *, node):
-        self._in_entry = 0
+        self._concurrent_count = 0
 
     async def admit(self, request):
-        """Refuse what exceeds the cap."""
-        if self._in_entry >= MAX_REQUESTS_IN_ENTRY:
-            detail = f"{self._in_entry} requests are in the entry"
+        """Raise `OVERLOADED` if the entry is at its cap of concurrent requests."""
+        if self._concurrent_count >= MAX_CONCURRENT_REQUESTS:
+            detail = f"the entry is serving {self._concurrent_count} requests"
             raise MagnoliagradeError(ErrorKind.OVERLOADED, detail, retry_after=1)
-        self._in_entry += 1
+        self._concurrent_count += 1
 
     def release(self, request):
-        """Count one request less."""
-        self._in_entry -= 1
+        """Decrement the count of concurrent requests."""
+        self._concurrent_count -= 1
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/requests/admission_fair.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/requests/admission_fair.py
@@ -1,4 +1,4 @@
-"""Admission that keeps organisations to their ceilings."""
+"""Admission that limits the token rate of each organisation."""
 
 from magnoliagrade.errors import ErrorKind, MagnoliagradeError
 from prometheus_client import Counter
@@ -11,16 +11,16 @@
 
 __all__ = ["FairAdmission"]
 
-RETRY_MIN_S = 1.0
-RETRY_MAX_S = 60.0
-LIMITED = Counter(
+MIN_RETRY_AFTER_S = 1.0
+MAX_RETRY_AFTER_S = 60.0
+LIMITED_REQUESTS = Counter(
     "magnoliagrade_limited_total", "Requests refused on account of a ceiling"
 )
 
 
 @admission_policies.register("fair")
 class FairAdmission:
-    """Ceilings by organisation, and a cap on requests in the entry.
+    """Limits each organisation's token rate and the entry's concurrent requests.
 
     Parameters
     ----------
@@ -29,8 +29,8 @@
 
     Notes
     -----
-    Who is next is not decided here: that falls to the queue of the request's pool
-    when credit appears.
+    The order of admitted requests is decided by their pool's wait queue when credit
+    is granted.
     """
 
     __slots__ = ("_capped", "_configuration", "rates")
@@ -41,27 +41,27 @@
         self.rates = SharedRates(clock=node.clock)
 
     async def admit(self, request):
-        """Refuse what exceeds the organisation's ceiling or the cap."""
-        found = self._configuration.in_force.organisation_by_name.get(
+        """Raise `LIMITED` above the organisation's ceiling, `OVERLOADED` at the cap."""
+        organisation = self._configuration.in_force.organisation_by_name.get(
             request.organisation
         )
-        if found is not None and found.rate_tokens_per_s:
-            self._check_ceiling(request, found.rate_tokens_per_s)
+        if organisation is not None and organisation.rate_tokens_per_s:
+            self._check_ceiling(request, organisation.rate_tokens_per_s)
         await self._capped.admit(request)
 
     def release(self, request):
-        """Count one request less in the entry."""
+        """Decrement the count of concurrent requests."""
         self._capped.release(request)
 
     def _check_ceiling(self, request, ceiling):
-        self.rates.note_demand(request.organisation, request.cost)
+        self.rates.record_demand(request.organisation, request.cost)
         wait_s = self.rates.wait_s(request.organisation, ceiling, request.cost)
         if not wait_s:
             return
-        LIMITED.inc()
-        detail = f"{request.organisation!r} has used up {ceiling} tokens a second"
+        LIMITED_REQUESTS.inc()
+        detail = f"{request.organisation!r} exceeds its {ceiling} tokens per second"
         raise MagnoliagradeError(
             ErrorKind.LIMITED,
             detail,
-            retry_after=min(RETRY_MAX_S, max(RETRY_MIN_S, wait_s)),
+            retry_after=min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait_s)),
         )
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/requests/arrival.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/requests/arrival.py
@@ -1,4 +1,4 @@
-"""Understanding a caller's request."""
+"""Authentication, validation and parsing of a caller's HTTP request."""
 
 import json
 import re
@@ -12,14 +12,14 @@
 __all__ = ["MODEL_PATHS", "read_arrival", "request_id_of"]
 
 MODEL_PATHS = ("/v1/chat/completions", "/v1/completions")
-BYTES_PER_TOKEN = 4
+CHARACTERS_PER_TOKEN = 4
 DEFAULT_OUTPUT_TOKENS = 128
 MAX_OUTPUT_TOKENS = 1_000_000
-PREFIX_BYTES = 256
-REQUEST_ID_CHARACTERS = 128
+PREFIX_CHARACTERS = 256
+MAX_REQUEST_ID_CHARACTERS = 128
 _REQUEST_ID = re.compile(r"[!-~]+")
 _SAFE_METHODS = ("GET", "HEAD", "OPTIONS")
-_TRUE_AND_FALSE = {"?1": True, "?0": False}
+_BOOLEAN_BY_TEXT = {"?1": True, "?0": False}
 _CONSUMED_HEADERS = (
     "x-organisation-labels",
     "x-request-labels",
@@ -33,7 +33,7 @@
 async def read_arrival(
     http_request, *, request_id, configuration, settings, clock, budget
 ):
-    """Return the request that a caller sent.
+    """Return a caller's HTTP request, authenticated, read and validated.
 
     Parameters
     ----------
@@ -48,20 +48,21 @@
     clock : Clock
         Source of time.
     budget : BodyBudget
-        Memory for bodies; the caller gives back the size of the request's body.
+        Memory for bodies, from which the size of the request's body is taken; the
+        caller of this function gives it back once the request is served.
 
     Returns
     -------
     request : Request
-        The checked request.
+        The validated request.
 
     Raises
     ------
     MagnoliagradeError
         `UNAUTHENTICATED`, `INVALID_REQUEST`, `TOO_LARGE`, `OVERLOADED` or
-        `NO_ROUTE`. Nothing of the budget is held then.
+        `NO_ROUTE`. Whatever was taken from the budget has then been given back.
     """
-    _check_headers(http_request.headers)
+    _check_header_encoding(http_request.headers)
     organisation = _authenticate(http_request.headers, configuration)
     body = await read_body(
         http_request,
@@ -70,7 +71,7 @@
         budget=budget,
     )
     try:
-        return _understand(
+        return _parse_request(
             http_request, body, request_id, organisation, configuration, clock
         )
     except MagnoliagradeError:
@@ -79,12 +80,12 @@
 
 
 def request_id_of(headers):
-    """Return the id that a caller gave its request, or a new one.
+    """Return the `X-Request-Id` of a request, or a new id if it has no valid one.
 
     Parameters
     ----------
     headers : mapping of str to str
-        Headers as received.
+        Headers of the HTTP request.
 
     Examples
     --------
@@ -94,19 +95,19 @@
     32
     """
     given = headers.get("X-Request-Id", "")
-    if len(given) <= REQUEST_ID_CHARACTERS and _REQUEST_ID.fullmatch(given):
+    if len(given) <= MAX_REQUEST_ID_CHARACTERS and _REQUEST_ID.fullmatch(given):
         return given
     return new_request_id()
 
 
-def _understand(http_request, body, request_id, organisation, configuration, clock):
+def _parse_request(http_request, body, request_id, organisation, configuration, clock):
     headers = http_request.headers
     if http_request.path in MODEL_PATHS:
         request = _read_model_request(http_request, body, request_id)
     else:
         request = _read_service_request(http_request, body, request_id)
     application = configuration.application_by_name.get(request.application)
-    if application is None or _is_other_work(application, http_request.path):
+    if application is None or _has_other_work(application, http_request.path):
         detail = f"application {request.application!r} does not exist"
         raise MagnoliagradeError(ErrorKind.NO_ROUTE, detail)
     request.organisation = organisation.name
@@ -116,8 +117,8 @@
         "application": request.application,
     }
     request.repeatable = _is_repeatable(http_request, request, application)
-    request.priority = int(_read_number(headers, "X-Priority", 0, -100, 100))
-    allowed_s = _read_number(
+    request.priority = int(_read_number_header(headers, "X-Priority", 0, -100, 100))
+    allowed_s = _read_number_header(
         headers, "X-Deadline-Seconds", application.deadline_s, 0.001, 86400
     )
     request.deadline = clock.monotonic() + allowed_s
@@ -125,14 +126,14 @@
     return request
 
 
-def _is_other_work(application, path):
+def _has_other_work(application, path):
     is_model_path = path in MODEL_PATHS
     return is_model_path != (application.work is Work.MODEL)
 
 
-def _check_headers(headers):
+def _check_header_encoding(headers):
     for name, value in headers.items():
-        # The parser keeps bytes that are not UTF-8 as lone surrogates.
+        # aiohttp's parser decodes bytes that are not UTF-8 to lone surrogates.
         if not value.isascii() and not _is_encodable(value):
             detail = f"header {name!r} is not UTF-8"
             raise MagnoliagradeError(ErrorKind.INVALID_REQUEST, detail)
@@ -153,31 +154,31 @@
         raise MagnoliagradeError(ErrorKind.UNAUTHENTICATED, detail)
     organisation = configuration.organisation_of_key(key.strip())
     if organisation is None:
-        raise MagnoliagradeError(ErrorKind.UNAUTHENTICATED, "the key is not known")
+        raise MagnoliagradeError(ErrorKind.UNAUTHENTICATED, "the bearer key is unknown")
     return organisation
 
 
 def _read_model_request(http_request, body, request_id):
     if http_request.method != "POST":
-        detail = f"method {http_request.method} is not POST"
+        detail = f"model requests must use POST, got {http_request.method}"
         raise MagnoliagradeError(ErrorKind.INVALID_REQUEST, detail)
     coding = http_request.headers.get("Content-Encoding", "identity")
     if coding.lower() != "identity":
-        detail = f"content encoding {coding!r} of a model request is not read"
+        detail = f"content encoding {coding!r} is not supported for model requests"
         raise MagnoliagradeError(ErrorKind.INVALID_REQUEST, detail)
     try:
         fields = json.loads(body)
     except (ValueError, RecursionError) as exc:
-        detail = f"body is not JSON: {exc}"
+        detail = f"body is not valid JSON: {exc}"
         raise MagnoliagradeError(ErrorKind.INVALID_REQUEST, detail) from exc
-    model = _field(fields, "model", str)
+    model = _typed_field(fields, "model", str)
     prompt = _prompt_text(fields)
     if not _is_encodable(model + prompt):
-        detail = "model or prompt holds half of a surrogate pair"
+        detail = "model or prompt contains an unpaired surrogate"
         raise MagnoliagradeError(ErrorKind.INVALID_REQUEST, detail)
     output = fields.get("max_tokens", DEFAULT_OUTPUT_TOKENS)
     if type(output) is not int or not 1 <= output <= MAX_OUTPUT_TOKENS:
-        detail = f"max_tokens is not a whole number from 1 to {MAX_OUTPUT_TOKENS}"
+        detail = f"max_tokens is not an integer from 1 to {MAX_OUTPUT_TOKENS}"
         raise MagnoliagradeError(ErrorKind.INVALID_REQUEST, detail)
     return Request(
         id=request_id,
@@ -188,26 +189,26 @@
         header_by_name=_forwarded_headers(http_request.headers),
         body=body,
         streaming=fields.get("stream") is True,
-        prompt_tokens=max(1, len(prompt) // BYTES_PER_TOKEN),
+        prompt_tokens=max(1, len(prompt) // CHARACTERS_PER_TOKEN),
         output_tokens=output,
-        prefix_hash=hash64(f"{model}\0{prompt[:PREFIX_BYTES]}"),
+        prefix_hash=hash64(f"{model}\0{prompt[:PREFIX_CHARACTERS]}"),
     )
 
 
 def _prompt_text(fields):
     if "messages" in fields:
-        messages = _field(fields, "messages", list)
+        messages = _typed_field(fields, "messages", list)
         if not all(isinstance(m, dict) for m in messages):
-            detail = "messages holds something that is no object"
+            detail = "messages contains an element that is not an object"
             raise MagnoliagradeError(ErrorKind.INVALID_REQUEST, detail)
         return "\0".join(json.dumps(m, sort_keys=True) for m in messages)
-    return _field(fields, "prompt", str)
+    return _typed_field(fields, "prompt", str)
 
 
-def _field(fields, name, kind):
+def _typed_field(fields, name, kind):
     value = fields.get(name) if isinstance(fields, dict) else None
     if not isinstance(value, kind):
-        detail = f"field {name!r} is not a {kind.__name__}"
+        detail = f"field {name!r} is missing or not of type {kind.__name__}"
         raise MagnoliagradeError(ErrorKind.INVALID_REQUEST, detail)
     return value
 
@@ -233,10 +234,10 @@
 def _is_repeatable(http_request, request, application):
     text = http_request.headers.get("Idempotent")
     if text is not None:
-        if text not in _TRUE_AND_FALSE:
+        if text not in _BOOLEAN_BY_TEXT:
             detail = f"header Idempotent {text!r} is neither ?1 nor ?0"
             raise MagnoliagradeError(ErrorKind.INVALID_REQUEST, detail)
-        return _TRUE_AND_FALSE[text]
+        return _BOOLEAN_BY_TEXT[text]
     if application.work is Work.MODEL or http_request.method in _SAFE_METHODS:
         return True
     return request.path.partition("?")[0] in application.idempotent_paths
@@ -247,13 +248,13 @@
     for part in filter(None, (p.strip() for p in text.split(","))):
         name, equals, value = part.partition("=")
         if not equals:
-            detail = f"request label {part!r} is not name=value"
+            detail = f"request label {part!r} is not of the form name=value"
             raise MagnoliagradeError(ErrorKind.INVALID_REQUEST, detail)
         labels[name.strip()] = value.strip()
     return labels
 
 
-def _read_number(headers, name, default, low, high):
+def _read_number_header(headers, name, default, low, high):
     text = headers.get(name)
     if text is None:
         return default
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/requests/attempt.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/requests/attempt.py
@@ -1,33 +1,33 @@
-"""One attempt: a request sent to one agent or peer entry."""
+"""Sending a request to one agent or peer entry and copying its response."""
 
 import asyncio
 
 import aiohttp
 from magnoliagrade.errors import ErrorKind, MagnoliagradeError, Ran
 from magnoliagrade.http import EventCutter, send_once, write_request_headers
-from magnoliagrade.http import headers as names
+from magnoliagrade.http import headers as header_names
 from magnoliagrade.observability import get_tracer, inject_context
 
 __all__ = ["AttemptFailed", "run_attempt"]
 
-HELD_ANSWER_BYTES = 256 * 1024
-STALL_LIMIT_S = 10.0
+MAX_BUFFERED_RESPONSE_BYTES = 256 * 1024
+STALL_TIMEOUT_S = 10.0
 _tracer = get_tracer(__name__)
 
 
 class AttemptFailed(MagnoliagradeError):
-    """An attempt did not give a whole answer.
+    """Raised when an attempt did not give a complete response.
 
     Parameters
     ----------
     kind : ErrorKind
-        What to tell the caller if no other attempt follows.
+        Error that the caller gets if no other attempt follows.
     detail : str
-        What happened.
+        Description of the failure.
     ran : Ran
-        Whether this attempt ran at its back end.
+        Whether this attempt ran at its back end, as far as is known.
     retry_after : float, optional
-        Seconds after which another attempt makes sense.
+        Seconds after which a retry may succeed.
     """
 
     def __init__(self, kind, detail, *, ran, retry_after=None):
@@ -36,7 +36,7 @@
 
 
 async def run_attempt(*, node, request, placement, attempt, sink):
-    """Send a request to its placement and its answer to the sink.
+    """Send a request to its placement and copy the response to the sink.
 
     Parameters
     ----------
@@ -45,22 +45,24 @@
     request : Request
         The request.
     placement : Placement
-        Where it goes.
+        Endpoint or peer entry that it is sent to.
     attempt : str
         Id of the attempt.
     sink : ResponseSink
-        Where the answer goes.
+        Destination of the response.
 
     Raises
     ------
     AttemptFailed
-        If the answer is not whole.
+        If the response is rejected, belongs to another attempt, is incomplete, or
+        misses the request's deadline.
 
     Notes
     -----
-    Nothing is passed to the sink before the answer has been checked to belong to
-    this attempt. Short answers are held until they are whole, events until each
-    is, so that another attempt can take over at any failure.
+    Nothing is written to the sink before the response has been checked to belong to
+    this attempt. Short responses are buffered until they are complete, and each event
+    of a stream until that event is complete, so that another attempt can continue
+    after a failure.
     """
     with _tracer.start_as_current_span(
         "attempt",
@@ -81,12 +83,12 @@
         )
         inject_context(headers)
         url = f"http://{placement.data_address}{request.path}"
-        left_s = request.deadline - node.clock.monotonic()
+        remaining_s = request.deadline - node.clock.monotonic()
         try:
-            async with asyncio.timeout(left_s):
+            async with asyncio.timeout(remaining_s):
                 await _exchange(node.session, request, attempt, url, headers, sink)
         except TimeoutError as exc:
-            detail = f"no whole answer within the deadline from {placement.name}"
+            detail = f"no complete response from {placement.name} before the deadline"
             raise AttemptFailed(ErrorKind.DEADLINE, detail, ran=Ran.UNKNOWN) from exc
 
 
@@ -98,98 +100,107 @@
             url,
             data=request.body or None,
             headers=headers,
-            stall_s=STALL_LIMIT_S if request.streaming else None,
+            stall_s=STALL_TIMEOUT_S if request.streaming else None,
         )
     except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as exc:
         raise AttemptFailed(ErrorKind.NOT_RUN, str(exc), ran=Ran.NO) from exc
     except (aiohttp.ClientError, OSError) as exc:
-        detail = f"connection lost before an answer: {type(exc).__name__}"
+        detail = f"connection lost before a response: {type(exc).__name__}"
         raise AttemptFailed(ErrorKind.OUTCOME_UNKNOWN, detail, ran=Ran.UNKNOWN) from exc
     async with response:
-        await _raise_for_refusal(response)
-        _check_own(response, attempt)
-        await _copy_answer(response, sink)
+        await _raise_for_rejection(response)
+        _check_attempt_id(response, attempt)
+        await _copy_response(response, sink)
 
 
-async def _raise_for_refusal(response):
-    code = response.headers.get(names.CODE)
+async def _raise_for_rejection(response):
+    code = response.headers.get(header_names.CODE)
     if code is None:
         return
-    ran = Ran(response.headers[names.RAN])
+    ran = Ran(response.headers[header_names.RAN])
     try:
         detail = (await response.json(content_type=None))["detail"]
     except (aiohttp.ClientError, ValueError, KeyError, TypeError):
-        detail = f"refused with {code}"
-    after = response.headers.get("Retry-After")
+        detail = f"rejected with {code}"
+    retry_after = response.headers.get("Retry-After")
     raise AttemptFailed(
-        ErrorKind(code), detail, ran=ran, retry_after=float(after) if after else None
+        ErrorKind(code),
+        detail,
+        ran=ran,
+        retry_after=float(retry_after) if retry_after else None,
     )
 
 
-def _check_own(response, attempt):
-    echoed = response.headers.get(names.ATTEMPT)
-    if echoed == attempt and names.RAN in response.headers:
+def _check_attempt_id(response, attempt):
+    echoed = response.headers.get(header_names.ATTEMPT)
+    if echoed == attempt and header_names.RAN in response.headers:
         return
     response.close()
-    detail = f"answer to attempt {echoed!r} came to attempt {attempt!r}"
+    detail = f"attempt {attempt!r} got the response to attempt {echoed!r}"
     raise AttemptFailed(ErrorKind.OUTCOME_UNKNOWN, detail, ran=Ran.UNKNOWN)
 
 
-async def _copy_answer(response, sink):
+async def _copy_response(response, sink):
     if response.content_type == "text/event-stream":
         await _copy_events(response, sink)
     elif sink.tokens_written:
         response.close()
-        raise _broken("a stream was resumed by an answer that is none", sink)
-    elif (response.content_length or HELD_ANSWER_BYTES) < HELD_ANSWER_BYTES:
-        await _copy_held(response, sink)
+        raise _incomplete_response(
+            "response to a resumed stream is not an event stream", sink
+        )
+    elif (
+        response.content_length or MAX_BUFFERED_RESPONSE_BYTES
+    ) < MAX_BUFFERED_RESPONSE_BYTES:
+        await _copy_buffered(response, sink)
     else:
-        await _copy_parts(response, sink)
+        await _copy_chunks(response, sink)
 
 
 async def _copy_events(response, sink):
     cutter = EventCutter()
     if not sink.has_started:
         await sink.start(response.status, response.headers)
-    async for part in _parts(response, sink):
+    async for chunk in _read_chunks(response, sink):
         try:
-            events = cutter.feed(part)
+            events = cutter.feed(chunk)
         except ValueError as exc:
-            raise _broken(str(exc), sink) from exc
+            raise _incomplete_response(str(exc), sink) from exc
         if events.data:
             await sink.write(events.data, tokens=events.tokens)
         if events.is_end:
             await sink.finish()
             return
-    raise _broken("stream ended without its end event", sink)
+    raise _incomplete_response("stream ended without its end event", sink)
 
 
-async def _copy_held(response, sink):
-    held = [part async for part in _parts(response, sink)]
+async def _copy_buffered(response, sink):
+    chunks = [chunk async for chunk in _read_chunks(response, sink)]
     await sink.start(response.status, response.headers)
-    await sink.write(b"".join(held))
+    await sink.write(b"".join(chunks))
     await sink.finish()
 
 
-async def _copy_parts(response, sink):
+async def _copy_chunks(response, sink):
     await sink.start(response.status, response.headers)
-    async for part in _parts(response, sink):
-        await sink.write(part)
+    async for chunk in _read_chunks(response, sink):
+        await sink.write(chunk)
     await sink.finish()
 
 
-async def _parts(response, sink):
-    """Yield the body; only its own failures become failures of the attempt."""
+async def _read_chunks(response, sink):
+    """Yield the body's chunks; raise `AttemptFailed` if reading one fails."""
     while True:
         try:
-            part = await response.content.readany()
+            chunk = await response.content.readany()
         except (aiohttp.ClientError, OSError) as exc:
-            raise _broken(f"answer broke off: {type(exc).__name__}", sink) from exc
-        if not part:
+            raise _incomplete_response(
+                f"response ended early: {type(exc).__name__}", sink
+            ) from exc
+        if not chunk:
             return
-        yield part
+        yield chunk
 
 
-def _broken(what, sink):
-    detail = f"{what} after {sink.bytes_written} bytes"
+def _incomplete_response(reason, sink):
+    detail = f"{reason} after {sink.bytes_written} bytes"
     return AttemptFailed(ErrorKind.ANSWER_BROKEN, detail, ran=Ran.YES)
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/requests/dispatch.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/requests/dispatch.py
@@ -1,4 +1,4 @@
-"""Serving a request: attempts until one gives a whole answer."""
+"""Dispatch of a request: attempts until one gives a complete response."""
 
 import logging
 
@@ -9,12 +9,12 @@
 from prometheus_client import Counter
 
 from magnoliagrade_entry.requests.attempt import AttemptFailed, run_attempt
-from magnoliagrade_entry.requests.hedging import Race, hedge_policies
+from magnoliagrade_entry.requests.hedging import HedgedAttempts, hedge_policies
 from magnoliagrade_entry.requests.retries import backoff_s, retry_policies
 
 __all__ = ["Dispatcher"]
 
-RETRY_AFTER_S = 1.0
+DEFAULT_RETRY_AFTER_S = 1.0
 LOOKUP_METHODS = ("GET", "HEAD")
 
 ATTEMPTS = Counter(
@@ -29,7 +29,7 @@
 
 
 class Dispatcher:
-    """Runs the attempts of requests.
+    """Sends requests to endpoints, with retries, hedging and revocation.
 
     Parameters
     ----------
@@ -45,47 +45,50 @@
         self._hedging_by_pool = {}
 
     async def serve(self, request, sink):
-        """Serve a request, writing its answer to a sink.
+        """Run attempts at a request until one has written its response to the sink.
 
         Parameters
         ----------
         request : Request
             The request.
         sink : ResponseSink
-            Where the answer goes.
+            Destination of the response.
 
         Raises
         ------
         MagnoliagradeError
-            If no attempt gave a whole answer; raised as soon as that is known.
+            If no attempt gave a complete response and no further one is allowed.
         """
         pool = self._node.configuration.in_force.pool_of(request.labels)
         retries = self._retries_of(pool)
-        retries.note_request()
-        tried = set()
+        retries.record_request()
+        tried_names = set()
         failure = None
         while True:
-            placement = await self._place(request, tried, failure)
+            placement = await self._place(request, tried_names, failure)
             try:
-                await self._try(request, pool, placement, sink, tried)
+                await self._attempt_with_hedging(
+                    request, pool, placement, sink, tried_names
+                )
                 return
             except AttemptFailed as exc:
-                newest = exc
-            # Once an attempt may have run, the request may have run.
+                latest = exc
+            # The first failure of an attempt that may have run is kept: the request may
+            # have run from then on, whatever later attempts report.
             if failure is None or failure.ran is Ran.NO:
-                failure = newest
-            tried.add(placement.name)
-            if not _may_repeat(request, newest, sink):
-                raise _final(failure)
+                failure = latest
+            tried_names.add(placement.name)
+            if not _may_retry(request, latest, sink):
+                raise _with_retry_after(failure)
             allowed = retries.take(request.attempt_count)
-            RETRIES.labels(newest.kind.value, str(allowed).lower()).inc()
+            RETRIES.labels(latest.kind.value, str(allowed).lower()).inc()
             if not allowed:
-                raise _final(failure)
-            await self._pause(request, failure)
+                raise _with_retry_after(failure)
+            await self._back_off(request, failure)
 
-    async def _place(self, request, tried, failure):
+    async def _place(self, request, tried_names, failure):
         try:
-            return await self._node.router.place(request, excluded=tried)
+            return await self._node.router.place(request, excluded=tried_names)
         except MagnoliagradeError as exc:
             log_event(
                 _log,
@@ -95,38 +98,44 @@
                 code=exc.kind.value,
                 detail=exc.detail,
             )
-            raise _final(failure or exc) from exc
+            raise _with_retry_after(failure or exc) from exc
 
-    async def _try(self, request, pool, placement, sink, tried):
+    async def _attempt_with_hedging(self, request, pool, placement, sink, tried_names):
         delay_s = self._hedge_delay_s(request, pool)
         started = self._node.clock.monotonic()
         if delay_s is None or request.attempt_count:
             await self._attempt(request, placement, sink)
         else:
-            await self._race(request, pool, placement, sink, tried, delay_s)
+            await self._attempt_hedged(
+                request, pool, placement, sink, tried_names, delay_s
+            )
         if _is_lookup(request):
-            taken = self._node.clock.monotonic() - started
-            self._hedging_of(pool).note(taken)
-
-    async def _race(self, request, pool, placement, sink, tried, delay_s):
-        async def first(lane):
-            await self._attempt(request, placement, lane)
-
-        async def second(lane):
-            other = await self._place_hedge(request, pool, {*tried, placement.name})
-            tried.add(other.name)
-            await self._attempt(request, other, lane)
+            elapsed_s = self._node.clock.monotonic() - started
+            self._hedging_of(pool).record(elapsed_s)
+
+    async def _attempt_hedged(
+        self, request, pool, placement, sink, tried_names, delay_s
+    ):
+        async def first(attempt_sink):
+            await self._attempt(request, placement, attempt_sink)
+
+        async def second(attempt_sink):
+            other = await self._place_hedge(
+                request, pool, {*tried_names, placement.name}
+            )
+            tried_names.add(other.name)
+            await self._attempt(request, other, attempt_sink)
 
-        await Race(sink=sink).run(first, second, delay_s)
+        await HedgedAttempts(sink=sink).run(first, second, delay_s)
 
-    async def _place_hedge(self, request, pool, tried):
+    async def _place_hedge(self, request, pool, tried_names):
         allowed = self._retries_of(pool).take(request.attempt_count)
         RETRIES.labels("hedge", str(allowed).lower()).inc()
         if not allowed:
-            detail = "the retry budget is used up"
+            detail = "the retry budget is exhausted"
             raise AttemptFailed(ErrorKind.NOT_RUN, detail, ran=Ran.NO)
         try:
-            return await self._node.router.place(request, excluded=tried)
+            return await self._node.router.place(request, excluded=tried_names)
         except MagnoliagradeError as exc:
             raise AttemptFailed(exc.kind, exc.detail, ran=Ran.NO) from exc
 
@@ -139,7 +148,7 @@
         ran = Ran.UNKNOWN
         try:
             self._node.forwarded.begin(request, placement, attempt)
-            await self._run(request, placement, attempt, sink)
+            await self._run_or_revoke(request, placement, attempt, sink)
             result = "whole"
         except MagnoliagradeError as exc:
             result = exc.kind.value
@@ -149,10 +158,10 @@
             if placement.endpoint:
                 placement.endpoint.end(request, result)
             self._node.forwarded.end(request, is_not_run=ran is Ran.NO)
-            self._note(request, placement, attempt, result)
+            self._record_attempt(request, placement, attempt, result)
 
-    async def _run(self, request, placement, attempt, sink):
-        """Run an attempt; a lost order is withdrawn, or its answer asked for again."""
+    async def _run_or_revoke(self, request, placement, attempt, sink):
+        """Run an attempt; revoke a lost non-repeatable one or get its outcome."""
         try:
             await run_attempt(
                 node=self._node,
@@ -165,20 +174,20 @@
             if request.repeatable or exc.ran is Ran.NO or sink.has_started:
                 raise
             if exc.kind is ErrorKind.DEADLINE:
-                self._node.revocations.withdraw(placement, attempt)
+                self._node.revocations.send_revoke(placement, attempt)
                 raise
-            answer = await self._node.revocations.settle(
+            reply = await self._node.revocations.revoke(
                 placement, attempt, deadline=request.deadline
             )
-            if answer.status:
-                await _recorded(answer).write_to(sink)
+            if reply.status:
+                await _recorded_response(reply).write_to(sink)
                 return
-            if not answer.never_started:
+            if not reply.never_started:
                 raise
-            detail = f"{exc.detail}; withdrawn before it started"
+            detail = f"{exc.detail}; revoked before it started"
             raise AttemptFailed(ErrorKind.NOT_RUN, detail, ran=Ran.NO) from exc
 
-    def _note(self, request, placement, attempt, result):
+    def _record_attempt(self, request, placement, attempt, result):
         ATTEMPTS.labels(request.application, result).inc()
         log_event(
             _log,
@@ -192,19 +201,19 @@
             configuration_revision=self._node.configuration.revision,
         )
 
-    async def _pause(self, request, failure):
-        pause = backoff_s(request.attempt_count, self._node.rng)
-        if self._node.clock.monotonic() + pause >= request.deadline:
-            raise _final(failure)
-        await self._node.clock.sleep(pause)
+    async def _back_off(self, request, failure):
+        delay_s = backoff_s(request.attempt_count, self._node.rng)
+        if self._node.clock.monotonic() + delay_s >= request.deadline:
+            raise _with_retry_after(failure)
+        await self._node.clock.sleep(delay_s)
 
     def _retries_of(self, pool):
         pool = pool or Pool(name="", endpoint_selector="")
         policy = _policy_of(pool, "option.retry.policy", retry_policies, "budget")
         key = (pool.name, policy, pool.retry_budget)
         if key not in self._retries_by_pool:
-            make = retry_policies.get(policy)
-            self._retries_by_pool[key] = make(
+            policy_class = retry_policies.get(policy)
+            self._retries_by_pool[key] = policy_class(
                 clock=self._node.clock, fraction=pool.retry_budget
             )
         return self._retries_by_pool[key]
@@ -235,9 +244,9 @@
     return default
 
 
-def _recorded(answer):
+def _recorded_response(reply):
     return RecordedResponse(
-        status=answer.status, content_type=answer.content_type, body=answer.body
+        status=reply.status, content_type=reply.content_type, body=reply.body
     )
 
 
@@ -245,7 +254,7 @@
     return request.repeatable and request.method in LOOKUP_METHODS
 
 
-def _may_repeat(request, failure, sink):
+def _may_retry(request, failure, sink):
     if failure.kind is ErrorKind.DEADLINE:
         return False
     if sink.has_started and not (sink.is_event_stream and request.repeatable):
@@ -253,8 +262,8 @@
     return failure.ran is Ran.NO or request.repeatable
 
 
-def _final(failure):
-    """Return the error that a caller gets, with the time to come back."""
+def _with_retry_after(failure):
+    """Return a failure, with a default `retry_after` if it is retryable."""
     if response_of(failure.kind).retryable and failure.retry_after is None:
-        failure.retry_after = RETRY_AFTER_S
+        failure.retry_after = DEFAULT_RETRY_AFTER_S
     return failure
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/requests/forwarded.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/requests/forwarded.py
@@ -1,4 +1,4 @@
-"""Requests that peer entries forwarded here, and their withdrawal."""
+"""Requests that peer entries forwarded to this entry, and their revocation."""
 
 from dataclasses import dataclass
 
@@ -6,20 +6,20 @@
 from magnoliagrade.wire import Revoke
 
 from magnoliagrade_entry.handlers import entry_handlers
-from magnoliagrade_entry.requests.revocation import REVOKE_WAIT_S
+from magnoliagrade_entry.requests.revocation import REVOKE_TIMEOUT_S
 from magnoliagrade_entry.routing import Placement
 
 __all__ = ["ForwardedTable"]
 
 
 @dataclass(slots=True, kw_only=True)
-class _Sent:
+class _SentAttempt:
     placement: Placement
     attempt: str
 
 
 class ForwardedTable:
-    """Non-repeatable requests of peer entries and where they were sent.
+    """Non-repeatable requests of peer entries, with the placement of each.
 
     Parameters
     ----------
@@ -28,77 +28,81 @@
 
     Notes
     -----
-    A peer whose connection breaks withdraws its attempt here. What has not been
-    sent on is refused from then on; what has been is withdrawn from the agent.
+    A peer entry that loses the connection of a forwarded request revokes its attempt
+    at this entry. If the request has not been sent to an agent yet, it is rejected
+    from then on; if it has, the revocation is relayed to the agent.
     """
 
-    __slots__ = ("_attempts", "_node", "_relayed", "_sent_by_attempt")
+    __slots__ = ("_attempts", "_node", "_relayed_revocations", "_sent_by_attempt")
 
     def __init__(self, *, node):
         self._node = node
         self._attempts = AttemptTable()
         self._sent_by_attempt = {}
-        self._relayed = set()
+        self._relayed_revocations = set()
 
     def begin(self, request, placement, attempt):
-        """Note that a request is about to be sent on.
+        """Record that a forwarded request is about to be sent to its placement.
 
         Raises
         ------
         MagnoliagradeError
-            `NOT_RUN` if its peer has withdrawn it.
+            `NOT_RUN` if the peer entry has revoked it.
         """
         if _is_tracked(request):
             forwarded = request.forwarded_attempt
             self._attempts.begin(forwarded)
-            sent = _Sent(placement=placement, attempt=attempt)
+            sent = _SentAttempt(placement=placement, attempt=attempt)
             self._sent_by_attempt[forwarded] = sent
 
     def end(self, request, *, is_not_run):
-        """Note how sending a request on ended.
+        """Record whether a forwarded request may have run.
 
         Parameters
         ----------
         request : Request
             The request.
         is_not_run : bool
-            Whether it is proven that this attempt did not run.
+            Whether this attempt is known not to have run.
         """
         if _is_tracked(request):
             sent = self._sent_by_attempt.pop(request.forwarded_attempt, None)
             if sent is None:
                 return
-            if is_not_run and request.forwarded_attempt in self._relayed:
+            if is_not_run and request.forwarded_attempt in self._relayed_revocations:
                 self._attempts.undo(request.forwarded_attempt)
             elif is_not_run:
                 self._attempts.forget(request.forwarded_attempt)
 
     def revoke(self, link, attempt):
-        """Withdraw a peer's attempt and answer over the link."""
+        """Revoke a peer entry's attempt and reply over the link."""
         sent = self._sent_by_attempt.get(attempt)
         if sent is None:
             never_started = self._attempts.revoke(attempt)
-            self._answer(link, attempt, never_started)
-        elif attempt not in self._relayed:
-            self._relayed.add(attempt)
+            self._reply(link, attempt, never_started)
+        elif attempt not in self._relayed_revocations:
+            self._relayed_revocations.add(attempt)
             relay = self._relay(link, attempt, sent)
             self._node.tasks.start(relay, name=f"revoke {attempt}")
 
     async def _relay(self, link, attempt, sent):
-        deadline = self._node.clock.monotonic() + REVOKE_WAIT_S
+        deadline = self._node.clock.monotonic() + REVOKE_TIMEOUT_S
         try:
-            answer = await self._node.revocations.settle(
-                sent.placement, sent.attempt, deadline=deadline, is_patient=False
+            reply = await self._node.revocations.revoke(
+                sent.placement,
+                sent.attempt,
+                deadline=deadline,
+                is_waiting_for_end=False,
             )
-            if answer.never_started:
+            if reply.never_started:
                 self._attempts.undo(attempt)
-            self._answer(link, attempt, answer.never_started)
+            self._reply(link, attempt, reply.never_started)
         finally:
-            self._relayed.discard(attempt)
+            self._relayed_revocations.discard(attempt)
 
-    def _answer(self, link, attempt, never_started):
-        answer = self._node.outcomes.answer(attempt, never_started=never_started)
-        link.send(answer)
+    def _reply(self, link, attempt, never_started):
+        reply = self._node.outcomes.answer(attempt, never_started=never_started)
+        link.send(reply)
 
 
 def _is_tracked(request):
@@ -107,5 +111,5 @@
 
 @entry_handlers.on(Revoke)
 async def on_revoke(node, link, message):
-    """Withdraw an attempt that a peer forwarded here."""
+    """Revoke the attempt of a peer entry that lost its connection."""
     node.forwarded.revoke(link, message.attempt)
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/requests/hedging.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/requests/hedging.py
@@ -1,4 +1,4 @@
-"""Hedging: a second attempt at a lookup that is slower than usual."""
+"""Hedged requests: a second attempt at a lookup that is slower than usual."""
 
 import asyncio
 from collections import deque
@@ -9,34 +9,34 @@
 
 from magnoliagrade_entry.requests.attempt import AttemptFailed
 
-__all__ = ["HedgePolicy", "Race", "hedge_policies"]
+__all__ = ["HedgePolicy", "HedgedAttempts", "hedge_policies"]
 
-KEPT_SAMPLES = 256
+MAX_SAMPLES = 256
 MIN_SAMPLES = 20
-NAIVE_DELAY_S = 0.0
-QUANTILE = 0.95
+IMMEDIATE_DELAY_S = 0.0
+HEDGE_QUANTILE = 0.95
 
 hedge_policies = Registry(family="hedge policy")
 
 
 class HedgePolicy(Protocol):
-    """What decides when a lookup gets a second attempt."""
+    """Interface of the policies for when a lookup gets a second attempt."""
 
-    def note(self, total_s):
-        """Learn how long a lookup took."""
+    def record(self, total_s):
+        """Record the duration of a lookup in seconds."""
 
     def delay_s(self):
-        """Return the seconds after which to hedge, or None for never."""
+        """Return the seconds before the second attempt, or None for no hedging."""
 
 
 @hedge_policies.register("none")
 class NoHedging:
-    """Baseline: never a second attempt."""
+    """Baseline: no hedging."""
 
     __slots__ = ()
 
-    def note(self, total_s):
-        """Learn nothing."""
+    def record(self, total_s):
+        """Do nothing."""
 
     def delay_s(self):
         """Return None."""
@@ -44,114 +44,115 @@
 
 
 @hedge_policies.register("naive")
-class NaiveHedging:
-    """Baseline: a second attempt at once, as far as the retry budget goes."""
+class ImmediateHedging:
+    """Baseline: a second attempt at once, within the retry budget."""
 
     __slots__ = ()
 
-    def note(self, total_s):
-        """Learn nothing."""
+    def record(self, total_s):
+        """Do nothing."""
 
     def delay_s(self):
-        """Return no delay."""
-        return NAIVE_DELAY_S
+        """Return 0."""
+        return IMMEDIATE_DELAY_S
 
 
 @hedge_policies.register("p95")
 class QuantileHedging:
-    """A second attempt after the recent 95th percentile of the pool's lookups.
+    """A second attempt after the 95th percentile of the pool's last lookups.
 
     Notes
     -----
-    Sorting the few samples takes microseconds, next to milliseconds of a lookup.
+    The percentile is taken over at most 256 samples. Sorting them takes microseconds,
+    a lookup milliseconds.
     """
 
     __slots__ = ("_samples",)
 
     def __init__(self):
-        self._samples = deque(maxlen=KEPT_SAMPLES)
+        self._samples = deque(maxlen=MAX_SAMPLES)
 
-    def note(self, total_s):
-        """Keep the sample."""
+    def record(self, total_s):
+        """Add a sample; the oldest is dropped beyond `MAX_SAMPLES`."""
         self._samples.append(total_s)
 
     def delay_s(self):
-        """Return the percentile, or None while there are few samples."""
+        """Return the percentile, or None with fewer than `MIN_SAMPLES` samples."""
         if len(self._samples) < MIN_SAMPLES:
             return None
         ordered = sorted(self._samples)
-        return ordered[int(QUANTILE * (len(ordered) - 1))]
+        return ordered[int(HEDGE_QUANTILE * (len(ordered) - 1))]
 
 
-class Race:
-    """Attempts of which the first to have an answer writes it.
+class HedgedAttempts:
+    """Concurrent attempts, of which the first with a response writes it.
 
     Parameters
     ----------
     sink : ResponseSink
-        Where the winner's answer goes.
+        Destination of the winner's response.
     """
 
-    __slots__ = ("_lanes", "sink", "winner")
+    __slots__ = ("_sinks", "sink", "winner")
 
     def __init__(self, *, sink):
         self.sink = sink
         self.winner = None
-        self._lanes = []
+        self._sinks = []
 
     async def run(self, first, second, delay_s):
-        """Run an attempt and, after a delay, another; return the winner's name.
+        """Run an attempt and, if it has no response after a delay, a second one.
 
         Parameters
         ----------
         first : coroutine function
             Called with a sink.
         second : coroutine function
-            Called with a sink once the delay has passed; returns at once with
-            `AttemptFailed` if there is nothing to hedge with.
+            Called with a sink once the delay has passed; raises `AttemptFailed` at
+            once if the retry budget or the endpoints allow no second attempt.
         delay_s : float
-            How long the first one runs alone.
+            Seconds that the first attempt runs alone.
 
         Raises
         ------
         AttemptFailed
-            If none gave a whole answer; a failure after which the request may have
-            run goes first.
+            If no attempt gave a complete response. Of several failures, one after
+            which the request may have run is preferred.
 
         Notes
         -----
-        The loser is cancelled as soon as the winner has its first byte.
+        The other attempt is cancelled as soon as the winner starts its response.
         """
         self._start(first)
         try:
-            await asyncio.wait([self._lanes[0].task], timeout=delay_s)
-            if self._lanes[0].task.done() or self.winner is not None:
-                await self._lanes[0].task
+            await asyncio.wait([self._sinks[0].task], timeout=delay_s)
+            if self._sinks[0].task.done() or self.winner is not None:
+                await self._sinks[0].task
                 return
             self._start(second)
             await self._finish()
         finally:
-            for lane in self._lanes:
-                lane.task.cancel()
-            await asyncio.gather(*(k.task for k in self._lanes), return_exceptions=True)
-
-    def win(self, lane):
-        """Note that a lane has an answer; raise if another one came first."""
-        if self.winner not in (None, lane):
-            detail = "another attempt was faster"
+            for attempt_sink in self._sinks:
+                attempt_sink.task.cancel()
+            await asyncio.gather(*(s.task for s in self._sinks), return_exceptions=True)
+
+    def select_winner(self, attempt_sink):
+        """Make an attempt the winner; raise if another one has started before."""
+        if self.winner not in (None, attempt_sink):
+            detail = "another attempt responded first"
             raise AttemptFailed(ErrorKind.ANSWER_BROKEN, detail, ran=Ran.YES)
-        self.winner = lane
-        for other in self._lanes:
-            if other is not lane:
+        self.winner = attempt_sink
+        for other in self._sinks:
+            if other is not attempt_sink:
                 other.task.cancel()
 
     def _start(self, attempt):
-        lane = _Lane(race=self)
-        self._lanes.append(lane)
-        lane.task = asyncio.create_task(attempt(lane))
+        attempt_sink = _AttemptSink(attempts=self)
+        self._sinks.append(attempt_sink)
+        attempt_sink.task = asyncio.create_task(attempt(attempt_sink))
 
     async def _finish(self):
-        tasks = [lane.task for lane in self._lanes]
+        tasks = [s.task for s in self._sinks]
         await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
         if self.winner is None:
             await asyncio.wait(tasks)
@@ -163,33 +164,33 @@
         raise (may_have_run or failures)[0]
 
 
-class _Lane:
-    """The sink of one attempt in a race."""
+class _AttemptSink:
+    """Sink of one hedged attempt; only the winner's writes reach the shared sink."""
 
-    __slots__ = ("_race", "task")
+    __slots__ = ("_attempts", "task")
 
-    def __init__(self, *, race):
-        self._race = race
+    def __init__(self, *, attempts):
+        self._attempts = attempts
         self.task = None
 
     @property
     def has_started(self):
-        return self._race.winner is self and self._race.sink.has_started
+        return self._attempts.winner is self and self._attempts.sink.has_started
 
     @property
     def bytes_written(self):
-        return self._race.sink.bytes_written if self.has_started else 0
+        return self._attempts.sink.bytes_written if self.has_started else 0
 
     @property
     def tokens_written(self):
-        return self._race.sink.tokens_written
+        return self._attempts.sink.tokens_written
 
     async def start(self, status, headers):
-        self._race.win(self)
-        await self._race.sink.start(status, headers)
+        self._attempts.select_winner(self)
+        await self._attempts.sink.start(status, headers)
 
     async def write(self, data, *, tokens=0):
-        await self._race.sink.write(data, tokens=tokens)
+        await self._attempts.sink.write(data, tokens=tokens)
 
     async def finish(self):
-        await self._race.sink.finish()
+        await self._attempts.sink.finish()
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/requests/retries.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/requests/retries.py
@@ -1,4 +1,4 @@
-"""Retry policies: how many attempts follow a failed one."""
+"""Retry policies: whether another attempt may follow a failed one."""
 
 from collections import deque
 from typing import Protocol
@@ -8,80 +8,84 @@
 __all__ = ["RetryPolicy", "retry_policies"]
 
 MAX_ATTEMPTS = 4
-WINDOW_S = 10.0
-SPARE_RETRIES = 3
-BACKOFF_FIRST_S = 0.01
-BACKOFF_MAX_S = 0.25
+BUDGET_WINDOW_S = 10.0
+EXTRA_RETRIES_PER_WINDOW = 3
+INITIAL_BACKOFF_S = 0.01
+MAX_BACKOFF_S = 0.25
 
 retry_policies = Registry(family="retry policy")
 
 
 class RetryPolicy(Protocol):
-    """What allows further attempts at the requests of one pool."""
+    """Interface of the policies that allow retries of one pool's requests."""
 
-    def note_request(self):
-        """Count a request."""
+    def record_request(self):
+        """Count a request towards the budget."""
 
     def take(self, attempt_count):
-        """Return whether another attempt may follow, and count it."""
+        """Return whether another attempt may follow; if so, count it as a retry.
+
+        `attempt_count` is the number of attempts at this request so far.
+        """
 
 
 @retry_policies.register("none")
 class NoRetries:
-    """Baseline: one attempt for each request."""
+    """Baseline: no retries."""
 
     __slots__ = ()
 
     def __init__(self, *, clock, fraction):
         pass
 
-    def note_request(self):
-        """Count nothing."""
+    def record_request(self):
+        """Do nothing."""
 
     def take(self, attempt_count):
-        """Allow nothing."""
+        """Return False."""
         return False
 
 
 @retry_policies.register("naive")
-class NaiveRetries:
-    """Baseline: a fixed number of attempts for each request."""
+class FixedRetries:
+    """Baseline: a fixed maximum of attempts for each request, without a budget."""
 
     __slots__ = ()
 
     def __init__(self, *, clock, fraction):
         pass
 
-    def note_request(self):
-        """Count nothing."""
+    def record_request(self):
+        """Do nothing."""
 
     def take(self, attempt_count):
-        """Allow attempts up to a fixed number."""
+        """Return whether fewer than `MAX_ATTEMPTS` attempts were made."""
         return attempt_count < MAX_ATTEMPTS
 
 
 @retry_policies.register("budget")
 class BudgetedRetries:
-    """Retries up to a fraction of the requests of the last seconds.
+    """Retry budget: retries up to a fraction of the requests of the last 10 s.
 
     Parameters
     ----------
     clock : Clock
         Source of time.
     fraction : float
-        Retries per request.
+        Retries allowed per request.
 
     Notes
     -----
-    A few retries are spare in each window, so that a pool with little traffic can
-    retry too. Time and memory are proportional to the requests in a window.
+    Each window allows `EXTRA_RETRIES_PER_WINDOW` retries in addition, so that a pool
+    with little traffic can retry too. Time and memory are proportional to the
+    requests in a window.
 
     Examples
     --------
     >>> from magnoliagrade.clock import ManualClock
     >>> retries = BudgetedRetries(clock=ManualClock(), fraction=0.5)
     >>> for _ in range(4):
-    ...     retries.note_request()
+    ...     retries.record_request()
     >>> [retries.take(1) for _ in range(6)]
     [True, True, True, True, True, False]
     """
@@ -94,16 +98,16 @@
         self._requests = deque()
         self._retries = deque()
 
-    def note_request(self):
-        """Count a request."""
+    def record_request(self):
+        """Count a request towards the budget."""
         self._requests.append(self._clock.monotonic())
 
     def take(self, attempt_count):
-        """Allow an attempt while the window's budget lasts."""
+        """Return whether the window's budget and `MAX_ATTEMPTS` allow a retry."""
         now = self._clock.monotonic()
-        _drop_older(self._requests, now - WINDOW_S)
-        _drop_older(self._retries, now - WINDOW_S)
-        allowed = SPARE_RETRIES + self._fraction * len(self._requests)
+        _drop_older(self._requests, now - BUDGET_WINDOW_S)
+        _drop_older(self._retries, now - BUDGET_WINDOW_S)
+        allowed = EXTRA_RETRIES_PER_WINDOW + self._fraction * len(self._requests)
         if attempt_count >= MAX_ATTEMPTS or len(self._retries) + 1 > allowed:
             return False
         self._retries.append(now)
@@ -111,19 +115,19 @@
 
 
 def backoff_s(attempt_count, rng):
-    """Return the pause before the next attempt in seconds.
+    """Return the jittered exponential backoff before the next attempt, in seconds.
 
     Parameters
     ----------
     attempt_count : int
         Attempts made so far, at least 1.
     rng : random.Random
-        Source of jitter.
+        Random number generator for the jitter.
     """
-    ceiling = min(BACKOFF_MAX_S, BACKOFF_FIRST_S * 2 ** (attempt_count - 1))
+    ceiling = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2 ** (attempt_count - 1))
     return rng.uniform(0, ceiling)
 
 
-def _drop_older(times, limit):
-    while times and times[0] < limit:
+def _drop_older(times, start_s):
+    while times and times[0] < start_s:
         times.popleft()
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/requests/revocation.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/requests/revocation.py
@@ -1,4 +1,4 @@
-"""Withdrawing an attempt whose connection was lost."""
+"""Revocation of an attempt whose connection was lost."""
 
 import asyncio
 import contextlib
@@ -10,32 +10,32 @@
 
 from magnoliagrade_entry.handlers import entry_handlers
 
-__all__ = ["Revocations"]
+__all__ = ["RevocationClient"]
 
-REVOKE_WAIT_S = 3.0
-RESEND_S = 0.3
-LINK_POLL_S = 0.05
-RUNNING_POLL_S = 0.1
+REVOKE_TIMEOUT_S = 3.0
+RESEND_INTERVAL_S = 0.3
+LINK_POLL_INTERVAL_S = 0.05
+RUNNING_POLL_INTERVAL_S = 0.1
 REVOCATIONS = Counter(
     "magnoliagrade_revocations_total", "Withdrawn attempts by result", ["result"]
 )
 _log = logging.getLogger(__name__)
 
 
-class _Question:
-    """An attempt that is asked about, and the newest answer."""
+class _PendingRevocation:
+    """A revocation in progress, with the latest reply to it."""
 
-    __slots__ = ("answer", "askers", "has_answer", "incarnation")
+    __slots__ = ("has_reply", "incarnation", "reply", "waiter_count")
 
     def __init__(self, *, incarnation):
         self.incarnation = incarnation
-        self.answer = None
-        self.askers = 0
-        self.has_answer = asyncio.Event()
+        self.reply = None
+        self.waiter_count = 0
+        self.has_reply = asyncio.Event()
 
 
-class Revocations:
-    """Questions to other processes whether an attempt started and how it ended.
+class RevocationClient:
+    """Revokes attempts at agents and peer entries, or fetches their outcomes.
 
     Parameters
     ----------
@@ -44,47 +44,49 @@
 
     Notes
     -----
-    Only the incarnation that the attempt was sent to may answer: its successor has
-    lost the books of what it started.
+    Only replies of the incarnation that the attempt was sent to count: a restarted
+    process has lost the record of the attempts that it started.
     """
 
-    __slots__ = ("_node", "_question_by_attempt")
+    __slots__ = ("_node", "_pending_by_attempt")
 
     def __init__(self, *, node):
         self._node = node
-        self._question_by_attempt = {}
+        self._pending_by_attempt = {}
 
-    async def settle(self, placement, attempt, *, deadline, is_patient=True):
-        """Withdraw an attempt, or learn how it ended.
+    async def revoke(self, placement, attempt, *, deadline, is_waiting_for_end=True):
+        """Return the outcome of an attempt after asking its process to revoke it.
 
         Parameters
         ----------
         placement : Placement
-            Where it was sent.
+            Endpoint or peer entry that it was sent to.
         attempt : str
-            Its id.
+            Id of the attempt.
         deadline : float
-            Monotonic time after which the answer is of no use.
-        is_patient : bool
-            Whether to wait for the end of an attempt that runs.
+            Monotonic time in seconds after which the reply is of no use.
+        is_waiting_for_end : bool
+            Whether to wait for the end of an attempt that is running.
 
         Returns
         -------
-        answer : RevokeAnswer
-            Says `never_started`, or the recorded answer by its status, or neither
-            if nothing is known in time.
+        reply : RevokeAnswer
+            Has `never_started` set, or the status of the recorded response, or neither
+            if the outcome is not known in time.
         """
-        question = self._question_by_attempt.setdefault(
-            attempt, _Question(incarnation=placement.incarnation)
+        pending = self._pending_by_attempt.setdefault(
+            attempt, _PendingRevocation(incarnation=placement.incarnation)
         )
-        question.askers += 1
+        pending.waiter_count += 1
         try:
-            answer = await self._ask(placement, attempt, question, deadline, is_patient)
+            reply = await self._send_until_reply(
+                placement, attempt, pending, deadline, is_waiting_for_end
+            )
         finally:
-            question.askers -= 1
-            if not question.askers:
-                del self._question_by_attempt[attempt]
-        result = _result(answer)
+            pending.waiter_count -= 1
+            if not pending.waiter_count:
+                del self._pending_by_attempt[attempt]
+        result = _result(reply)
         REVOCATIONS.labels(result).inc()
         log_event(
             _log,
@@ -93,54 +95,56 @@
             endpoint=placement.name,
             result=result,
         )
-        return answer
+        return reply
 
-    def withdraw(self, placement, attempt):
-        """Withdraw an attempt without waiting; a copy that comes late is refused."""
+    def send_revoke(self, placement, attempt):
+        """Revoke an attempt without waiting, so that a late copy of it is rejected."""
         link = self._node.links.by_instance.get(placement.name)
         if link is not None and link.peer_incarnation == placement.incarnation:
             link.send(Revoke(attempt=attempt))
 
-    def on_answer(self, link, message):
-        """Take an answer that came over a link."""
-        question = self._question_by_attempt.get(message.attempt)
-        if question is not None and link.peer_incarnation == question.incarnation:
-            question.answer = message
-            question.has_answer.set()
+    def on_reply(self, link, message):
+        """Pass a reply that a link received to the revocation that waits for it."""
+        pending = self._pending_by_attempt.get(message.attempt)
+        if pending is not None and link.peer_incarnation == pending.incarnation:
+            pending.reply = message
+            pending.has_reply.set()
 
-    async def _ask(self, placement, attempt, question, deadline, is_patient):
+    async def _send_until_reply(
+        self, placement, attempt, pending, deadline, is_waiting_for_end
+    ):
         clock = self._node.clock
-        until = min(deadline, clock.monotonic() + REVOKE_WAIT_S)
-        while clock.monotonic() < until:
+        timeout_at = min(deadline, clock.monotonic() + REVOKE_TIMEOUT_S)
+        while clock.monotonic() < timeout_at:
             link = self._node.links.by_instance.get(placement.name)
             if link is None or link.is_closing:
-                await clock.sleep(LINK_POLL_S)
+                await clock.sleep(LINK_POLL_INTERVAL_S)
                 continue
             if link.peer_incarnation != placement.incarnation:
                 break
-            question.has_answer.clear()
+            pending.has_reply.clear()
             link.send(Revoke(attempt=attempt))
-            left = until - clock.monotonic()
+            remaining_s = timeout_at - clock.monotonic()
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(min(RESEND_S, left)):
-                    await question.has_answer.wait()
-            answer = question.answer
-            if answer is None:
+                async with asyncio.timeout(min(RESEND_INTERVAL_S, remaining_s)):
+                    await pending.has_reply.wait()
+            reply = pending.reply
+            if reply is None:
                 continue
-            if not answer.is_running or not is_patient:
-                return answer
-            until = deadline
-            await clock.sleep(RUNNING_POLL_S)
+            if not reply.is_running or not is_waiting_for_end:
+                return reply
+            timeout_at = deadline
+            await clock.sleep(RUNNING_POLL_INTERVAL_S)
         return RevokeAnswer(attempt=attempt)
 
 
-def _result(answer):
-    if answer.never_started:
+def _result(reply):
+    if reply.never_started:
         return "never-started"
-    return "answered" if answer.status else "unproven"
+    return "answered" if reply.status else "unproven"
 
 
 @entry_handlers.on(RevokeAnswer)
 async def on_revoke_answer(node, link, message):
-    """Pass an answer on to the attempt that waits for it."""
-    node.revocations.on_answer(link, message)
+    """Pass a reply to the revocation that waits for it."""
+    node.revocations.on_reply(link, message)
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/requests/shared_rates.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/requests/shared_rates.py
@@ -1,4 +1,4 @@
-"""Ceilings on organisations' rates, shared by entries without coordination."""
+"""Rate limits of organisations, divided among entries without coordination."""
 
 from dataclasses import dataclass, field
 
@@ -7,24 +7,24 @@
 __all__ = ["ReportedUsage", "SharedRates"]
 
 BURST_S = 2.0
-STALE_S = 8.0
-FLOOR_FRACTION = 0.05
+MAX_REPORT_AGE_S = 8.0
+MIN_DEMAND_FRACTION = 0.05
 DEMAND_WEIGHT = 0.5
 NEGLIGIBLE_COST_PER_S = 0.5
 
 
 @dataclass(slots=True, kw_only=True)
 class ReportedUsage:
-    """Demand that another entry, or all of another data centre, reported.
+    """Demand reported by another entry or by all entries of a data centre.
 
     Parameters
     ----------
     entries : int
-        Entries that it sums up.
+        Number of entries that the report covers.
     at : float
-        Monotonic time of its arrival.
+        Monotonic time in seconds at which it was received.
     demand_by_organisation : dict of str to float
-        Cost a second.
+        Cost per second by organisation.
     """
 
     entries: int = 1
@@ -33,7 +33,7 @@
 
 
 class SharedRates:
-    """Parts of organisations' ceilings that fall to one entry.
+    """Computes and enforces this entry's share of each organisation's ceiling.
 
     Parameters
     ----------
@@ -42,34 +42,35 @@
 
     Notes
     -----
-    Entries that were heard of lately share their parts by demand. A part of the
-    ceiling is left to those that are silent, one n-th for each of n entries, since
-    they may serve callers on the far side of a cut; an entry that hears nobody keeps
-    to its own n-th. So the parts add up to the ceiling at most while demand is known
-    equally on all sides, in each side of a cut by itself, and overshoot only for as
-    long as reports are under way. Only organisations with a ceiling are tracked:
-    O(1) for each request, O(entries heard) once a second and organisation in use.
+    Entries with a report of the last `MAX_REPORT_AGE_S` seconds divide their shares by
+    demand. For each entry without one, 1/n of the ceiling is reserved, n being the
+    number of entries, because it may serve callers on the other side of a network
+    partition; an entry that receives no reports uses 1/n itself. The shares therefore
+    sum to at most the ceiling, also with each side of a partition taken by itself, as
+    long as all entries of a side know the same demand; they exceed it only while
+    reports are in transit. Only organisations with a ceiling are tracked: O(1) per
+    request, O(reporting entries) per second and organisation in use.
 
     Examples
     --------
     >>> from magnoliagrade.clock import ManualClock
     >>> rates = SharedRates(clock=ManualClock())
     >>> rates.entries = 4
-    >>> rates.part("o", 100.0)
+    >>> rates.share("o", 100.0)
     25.0
     >>> usage = ReportedUsage(entries=3, demand_by_organisation={"o": 0.0})
-    >>> rates.note_report("peer", usage)
-    >>> rates.note_demand("o", 50.0)
+    >>> rates.record_report("peer", usage)
+    >>> rates.record_demand("o", 50.0)
     >>> rates.end_interval(1.0)
-    >>> rates.part("o", 100.0) > 75
+    >>> rates.share("o", 100.0) > 75
     True
     """
 
     __slots__ = (
+        "_arrived_cost_by_organisation",
         "_bucket_by_organisation",
         "_clock",
-        "_heard_by_source",
-        "_offered_by_organisation",
+        "_report_by_source",
         "demand_by_organisation",
         "entries",
     )
@@ -77,28 +78,28 @@
     def __init__(self, *, clock):
         self._clock = clock
         self._bucket_by_organisation = {}
-        self._heard_by_source = {}
-        self._offered_by_organisation = {}
+        self._report_by_source = {}
+        self._arrived_cost_by_organisation = {}
         self.demand_by_organisation = {}
         self.entries = 1
 
-    def note_report(self, source, usage):
-        """Take the demand of another entry or data centre."""
+    def record_report(self, source, usage):
+        """Store the demand that another entry or data centre reported."""
         usage.at = self._clock.monotonic()
-        self._heard_by_source[source] = usage
+        self._report_by_source[source] = usage
 
-    def note_demand(self, organisation, cost):
-        """Count the cost of a request that arrived, admitted or not."""
-        before = self._offered_by_organisation.get(organisation, 0.0)
-        self._offered_by_organisation[organisation] = before + cost
+    def record_demand(self, organisation, cost):
+        """Add the cost of a request that arrived, whether admitted or not."""
+        before = self._arrived_cost_by_organisation.get(organisation, 0.0)
+        self._arrived_cost_by_organisation[organisation] = before + cost
 
     def end_interval(self, seconds):
-        """Update the demand of each organisation in use after an interval."""
-        offered = self._offered_by_organisation
-        self._offered_by_organisation = {}
-        for name in {*offered, *self.demand_by_organisation}:
+        """Update each organisation's smoothed demand after an interval in seconds."""
+        arrived_cost = self._arrived_cost_by_organisation
+        self._arrived_cost_by_organisation = {}
+        for name in {*arrived_cost, *self.demand_by_organisation}:
             before = self.demand_by_organisation.get(name, 0.0)
-            rate = offered.get(name, 0.0) / seconds
+            rate = arrived_cost.get(name, 0.0) / seconds
             demand = before + DEMAND_WEIGHT * (rate - before)
             if demand < NEGLIGIBLE_COST_PER_S:
                 self.demand_by_organisation.pop(name, None)
@@ -106,62 +107,63 @@
                 continue
             self.demand_by_organisation[name] = demand
 
-    def summed(self, sources):
-        """Return the demand of this entry and of some others together.
+    def total_demand(self, sources):
+        """Return the summed demand of this entry and of the given sources.
 
         Parameters
         ----------
         sources : iterable of str
-            Whose reported demand is added.
+            Entries or data centres whose reported demand is added.
 
         Returns
         -------
         usage : ReportedUsage
-            The sums over all that were heard lately.
+            Sums over this entry and the sources whose reports have not expired.
         """
         total = ReportedUsage(demand_by_organisation=dict(self.demand_by_organisation))
         for source in sources:
-            heard = self._heard_by_source.get(source)
-            if heard is None or not self._is_fresh(heard):
+            report = self._report_by_source.get(source)
+            if report is None or not self._is_fresh(report):
                 continue
-            total.entries += heard.entries
-            for name, demand in heard.demand_by_organisation.items():
+            total.entries += report.entries
+            for name, demand in report.demand_by_organisation.items():
                 before = total.demand_by_organisation.get(name, 0.0)
                 total.demand_by_organisation[name] = before + demand
         return total
 
-    def part(self, organisation, ceiling):
-        """Return this entry's part of a ceiling.
+    def share(self, organisation, ceiling):
+        """Return this entry's share of a ceiling, in cost per second.
 
         Parameters
         ----------
         organisation : str
-            Whose ceiling it is.
+            Organisation that the ceiling applies to.
         ceiling : float
-            Cost a second over the fleet.
+            Cost per second over all entries.
         """
-        fresh = [h for h in self._heard_by_source.values() if self._is_fresh(h)]
-        heard = min(self.entries - 1, sum(h.entries for h in fresh))
-        shared = ceiling * (heard + 1) / self.entries
-        floor = FLOOR_FRACTION * ceiling / self.entries
-        others = sum(h.demand_by_organisation.get(organisation, 0.0) for h in fresh)
-        own = self.demand_by_organisation.get(organisation, 0.0)
-        return shared * (own + floor) / (own + others + floor * (heard + 1))
+        fresh = [r for r in self._report_by_source.values() if self._is_fresh(r)]
+        peers = min(self.entries - 1, sum(r.entries for r in fresh))
+        shared = ceiling * (peers + 1) / self.entries
+        # Lower bound on each entry's demand, so that an idle entry keeps a share.
+        floor = MIN_DEMAND_FRACTION * ceiling / self.entries
+        remote = sum(r.demand_by_organisation.get(organisation, 0.0) for r in fresh)
+        local = self.demand_by_organisation.get(organisation, 0.0)
+        return shared * (local + floor) / (local + remote + floor * (peers + 1))
 
     def wait_s(self, organisation, ceiling, cost):
-        """Spend a cost, or return the seconds until it may be spent.
+        """Spend a cost and return 0, or return the seconds until it may be spent.
 
         Parameters
         ----------
         organisation : str
-            Whose request it is.
+            Organisation that sent the request.
         ceiling : float
-            Cost a second over the fleet.
+            Cost per second over all entries.
         cost : float
-            What the request weighs.
+            Cost of the request: its tokens, or 1 for a service call.
         """
         now = self._clock.monotonic()
-        rate = self.part(organisation, ceiling)
+        rate = self.share(organisation, ceiling)
         bucket = self._bucket_by_organisation.get(organisation)
         if bucket is None:
             bucket = TokenBucket(rate=rate, burst_s=BURST_S, at=now)
@@ -169,5 +171,5 @@
         bucket.set_rate(rate, at=now)
         return bucket.take(cost, at=now)
 
-    def _is_fresh(self, heard):
-        return self._clock.monotonic() - heard.at <= STALE_S
+    def _is_fresh(self, report):
+        return self._clock.monotonic() - report.at <= MAX_REPORT_AGE_S
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/requests/tests/test_retries.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/requests/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""Retry budget and hedging."""
+"""Tests of the retry budget, the backoff and hedging."""
 
 import asyncio
 import random
@@ -9,7 +9,7 @@
 from magnoliagrade.errors import ErrorKind, Ran
 
 from magnoliagrade_entry.requests.attempt import AttemptFailed
-from magnoliagrade_entry.requests.hedging import Race, hedge_policies
+from magnoliagrade_entry.requests.hedging import HedgedAttempts, hedge_policies
 from magnoliagrade_entry.requests.retries import backoff_s, retry_policies
 
 
@@ -18,12 +18,12 @@
     clock = ManualClock()
     retries = retry_policies.get("budget")(clock=clock, fraction=fraction)
     for _ in range(requests):
-        retries.note_request()
+        retries.record_request()
     allowed = sum(retries.take(1) for _ in range(requests + 10))
     assert allowed <= 3 + fraction * requests
 
 
-def test_budget_comes_back_with_time():
+def test_budget_is_restored_after_its_window():
     clock = ManualClock()
     retries = retry_policies.get("budget")(clock=clock, fraction=0.1)
     while retries.take(1):
@@ -33,21 +33,21 @@
 
 
 def test_backoff_is_jittered_and_bounded():
-    pauses = [backoff_s(9, random.Random(seed)) for seed in range(50)]
-    assert len(set(pauses)) == 50
-    assert 0 <= min(pauses) and max(pauses) <= 0.25
+    delays_s = [backoff_s(9, random.Random(seed)) for seed in range(50)]
+    assert len(set(delays_s)) == 50
+    assert 0 <= min(delays_s) and max(delays_s) <= 0.25
 
 
-def test_hedge_waits_for_enough_samples():
+def test_hedge_delay_is_unset_below_the_minimum_of_samples():
     policy = hedge_policies.get("p95")()
     for number in range(100):
-        policy.note(number / 1000)
+        policy.record(number / 1000)
         assert (policy.delay_s() is None) == (number < 19)
     assert 0.09 <= policy.delay_s() <= 0.1
 
 
-class Sink:
-    """Keeps what is written."""
+class FakeSink:
+    """Sink that records what is written."""
 
     def __init__(self):
         self.parts = []
@@ -66,14 +66,14 @@
 
 
 def _attempt(name, wait_s, log, ran=None):
-    async def attempt(lane):
+    async def attempt(attempt_sink):
         try:
             await asyncio.sleep(wait_s)
             if ran is not None:
                 raise AttemptFailed(ErrorKind.NOT_RUN, name, ran=ran)
-            await lane.start(200, {})
-            await lane.write(name.encode())
-            await lane.finish()
+            await attempt_sink.start(200, {})
+            await attempt_sink.write(name.encode())
+            await attempt_sink.finish()
         except asyncio.CancelledError:
             log.append(f"{name} cancelled")
             raise
@@ -81,31 +81,31 @@
     return attempt
 
 
-async def _race(first, second):
-    sink = Sink()
-    await Race(sink=sink).run(first, second, 0.01)
+async def _run_hedged(first, second):
+    sink = FakeSink()
+    await HedgedAttempts(sink=sink).run(first, second, 0.01)
     return sink.parts
 
 
-def test_faster_attempt_wins_and_the_other_is_cancelled():
+def test_first_response_is_written_and_the_other_attempt_is_cancelled():
     log = []
     slow, quick = _attempt("slow", 60, log), _attempt("quick", 0, log)
-    assert asyncio.run(_race(slow, quick)) == [b"quick", b"end"]
+    assert asyncio.run(_run_hedged(slow, quick)) == [b"quick", b"end"]
     assert log == ["slow cancelled"]
 
 
-def test_failed_hedge_leaves_the_first_attempt_running():
+def test_first_attempt_continues_after_a_failed_hedge():
     log = []
     first, second = _attempt("first", 0.1, log), _attempt("b", 0, log, ran=Ran.NO)
-    assert asyncio.run(_race(first, second)) == [b"first", b"end"]
+    assert asyncio.run(_run_hedged(first, second)) == [b"first", b"end"]
 
 
-def test_failure_that_may_have_run_goes_first():
+def test_failure_that_may_have_run_is_raised_in_preference():
     log = []
     first = _attempt("first", 0.02, log, ran=Ran.NO)
     second = _attempt("second", 0.03, log, ran=Ran.UNKNOWN)
     try:
-        asyncio.run(_race(first, second))
+        asyncio.run(_run_hedged(first, second))
     except AttemptFailed as exc:
         assert exc.ran is Ran.UNKNOWN
     else:
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/usage_gossip.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/usage_gossip.py
@@ -48,10 +48,10 @@
     links = node.links.of_role(Role.ENTRY)
     near = [k for k in links if k.hello.data_centre == own_data_centre]
     rates = node.admission.rates
-    own = _report(rates.summed([]), interval_s)
+    own = _report(rates.total_demand([]), interval_s)
     for link in near:
         link.send(own)
-    summed = _report(rates.summed(k.peer_instance for k in near), interval_s)
+    summed = _report(rates.total_demand(k.peer_instance for k in near), interval_s)
     summed.data_centre = own_data_centre
     for link in links:
         if link not in near:
@@ -77,4 +77,4 @@
         entries=message.entries,
         demand_by_organisation={u.organisation: u.cost for u in message.usages},
     )
-    node.admission.rates.note_report(message.data_centre or link.peer_instance, usage)
+    node.admission.rates.record_report(message.data_centre or link.peer_instance, usage)
