--- a/packages/magnoliagrade-entry/magnoliagrade_entry/claims/__init__.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/claims/__init__.py
@@ -1,17 +1,17 @@
-"""Claims on idempotency keys, kept in the platform's store."""
+"""Claims on idempotency keys, written to the store of the operators' platform."""
 
-from magnoliagrade_entry.claims.batched import BatchedKeeper
+from magnoliagrade_entry.claims.batched import BatchedClaimStore
 from magnoliagrade_entry.claims.guard import ClaimGuard
-from magnoliagrade_entry.claims.keeper import ClaimKeeper, claim_keepers
 from magnoliagrade_entry.claims.records import Claim, claim_of
-from magnoliagrade_entry.claims.single import SingleKeeper
+from magnoliagrade_entry.claims.single import SingleClaimStore
+from magnoliagrade_entry.claims.store import ClaimStore, claim_stores
 
 __all__ = [
-    "BatchedKeeper",
+    "BatchedClaimStore",
     "Claim",
     "ClaimGuard",
-    "ClaimKeeper",
-    "SingleKeeper",
-    "claim_keepers",
+    "ClaimStore",
+    "SingleClaimStore",
     "claim_of",
+    "claim_stores",
 ]
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/claims/batched.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/claims/batched.py
@@ -1,4 +1,4 @@
-"""Claims of a shard are written together by one entry of each data centre."""
+"""Batched claim writes: one entry of each data centre writes a shard's claims."""
 
 import asyncio
 import dataclasses
@@ -9,20 +9,20 @@
 from magnoliagrade.wire import ClaimAnswer, ClaimChange
 from magnoliagrade.world import Role
 
-from magnoliagrade_entry.claims.keeper import claim_keepers
 from magnoliagrade_entry.claims.records import Claim
 from magnoliagrade_entry.claims.shard import Shard
+from magnoliagrade_entry.claims.store import claim_stores
 from magnoliagrade_entry.handlers import entry_handlers
 
-__all__ = ["BatchedKeeper"]
+__all__ = ["BatchedClaimStore"]
 
-WRITER_WAIT_S = 0.5
-SILENT_PAUSE_S = 5.0
+WRITER_TIMEOUT_S = 0.5
+WRITER_EXCLUSION_S = 5.0
 
 
-@claim_keepers.register("batched")
-class BatchedKeeper:
-    """Sends changes to the writer of their shard, or writes them itself.
+@claim_stores.register("batched")
+class BatchedClaimStore:
+    """Sends changes of claims to their shard's writer, or writes them itself.
 
     Parameters
     ----------
@@ -31,126 +31,133 @@
 
     Notes
     -----
-    Rendezvous hashing names a data centre for each shard and in it an entry that
-    writes; a change goes there over at most two links. Where data centres cannot
-    reach each other, each writes its own changes, and the compare-and-swap keeps
-    them in order. An entry that does not answer is passed over after half a second
-    and for some seconds: making the same change twice gives one claim, because a
-    claim is told by its operation.
+    Rendezvous hashing selects a data centre for each shard, and in it an entry as the
+    writer; a change reaches the writer over at most two links. Data centres that
+    cannot reach each other each write their own changes, and the store's
+    compare-and-swap serialises them. An entry that does not reply to a claim within
+    half a second (`WRITER_TIMEOUT_S`) is excluded as a writer for
+    `WRITER_EXCLUSION_S`, and the claim is written here instead. Making the same
+    change twice gives one claim, because claims are identified by their operation.
     """
 
     __slots__ = (
-        "_answer_by_operation",
+        "_excluded_until_by_name",
+        "_future_by_operation",
         "_node",
         "_shard_by_key",
-        "_silent_until_by_name",
     )
 
     def __init__(self, *, node):
         self._node = node
         self._shard_by_key = {}
-        self._answer_by_operation = {}
-        self._silent_until_by_name = {}
+        self._future_by_operation = {}
+        self._excluded_until_by_name = {}
 
     async def claim(self, claim):
-        """Create a claim unless the key has one; return the claim that holds."""
+        """Create a claim unless its key has one; return the claim in force."""
         held = await self._change("claim", claim)
         if held is None:
-            raise StoreUnavailable(f"claim {claim.operation} was not written")
+            raise StoreUnavailable(
+                f"claim {claim.operation} was not written to the store"
+            )
         return held
 
-    async def settle(self, claim):
-        """Record the outcome of a claim."""
+    async def record_outcome(self, claim):
+        """Record the outcome of a claim; does not wait for a remote writer."""
         await self._change("settle", claim)
 
     async def release(self, claim):
-        """Drop a claim whose request did not run."""
+        """Delete a claim whose request did not run."""
         await self._change("release", claim)
 
-    async def change_for(self, link, action, claim):
-        """Make a change that another entry asked for.
+    async def change_for_peer(self, link, action, claim):
+        """Make a change that another entry requested; return the claim in force.
 
         Parameters
         ----------
         link : Link
-            Link to that entry.
+            Link to the entry that requested it.
         action : str
             `claim`, `settle` or `release`.
         claim : Claim
-            The claim.
+            Claim to create, update or delete.
 
         Returns
         -------
         held : Claim or None
-            The claim that holds afterwards.
+            The claim in force for the key afterwards.
         """
-        own = self._node.identity.data_centre
-        if link.hello.data_centre == own:
-            return await self._change_here(action, claim)
-        return await self._change_through(self._local_writer(claim), action, claim)
+        local_data_centre = self._node.identity.data_centre
+        if link.hello.data_centre == local_data_centre:
+            return await self._change_locally(action, claim)
+        return await self._change_via_link(self._local_writer(claim), action, claim)
 
-    def on_answer(self, message):
-        """Take the answer of a shard's writer."""
-        answer = self._answer_by_operation.get(message.asked)
-        if answer is not None and not answer.done():
-            answer.set_result(message)
+    def on_reply(self, message):
+        """Pass a shard writer's reply to the claim that waits for it."""
+        future = self._future_by_operation.get(message.asked)
+        if future is not None and not future.done():
+            future.set_result(message)
 
     async def _change(self, action, claim):
         writer = self._remote_writer(claim) or self._local_writer(claim)
-        return await self._change_through(writer, action, claim)
+        return await self._change_via_link(writer, action, claim)
 
-    async def _change_here(self, action, claim):
+    async def _change_locally(self, action, claim):
         key = self._shard_key(claim)
         if key not in self._shard_by_key:
             self._shard_by_key[key] = Shard(node=self._node, key=key)
         return await self._shard_by_key[key].change(action, claim)
 
-    async def _change_through(self, link, action, claim):
+    async def _change_via_link(self, link, action, claim):
         if link is None:
-            return await self._change_here(action, claim)
+            return await self._change_locally(action, claim)
         link.send(ClaimChange(action=action, **_fields(claim)))
         if action != "claim":
             return None
-        answer = await self._wait_for_answer(claim)
-        if answer is None or not answer.is_available:
+        reply = await self._wait_for_reply(claim)
+        if reply is None or not reply.is_available:
             now = self._node.clock.monotonic()
-            self._silent_until_by_name[link.peer_instance] = now + SILENT_PAUSE_S
-            return await self._change_here(action, claim)
-        return Claim(**{f.name: getattr(answer, f.name) for f in _FIELDS})
+            self._excluded_until_by_name[link.peer_instance] = now + WRITER_EXCLUSION_S
+            return await self._change_locally(action, claim)
+        return Claim(**{f.name: getattr(reply, f.name) for f in _FIELDS})
 
-    async def _wait_for_answer(self, claim):
-        answer = asyncio.get_running_loop().create_future()
-        self._answer_by_operation[claim.operation] = answer
+    async def _wait_for_reply(self, claim):
+        future = asyncio.get_running_loop().create_future()
+        self._future_by_operation[claim.operation] = future
         try:
-            await asyncio.wait([answer], timeout=WRITER_WAIT_S)
-            return answer.result() if answer.done() else None
+            await asyncio.wait([future], timeout=WRITER_TIMEOUT_S)
+            return future.result() if future.done() else None
         finally:
-            del self._answer_by_operation[claim.operation]
+            del self._future_by_operation[claim.operation]
 
     def _remote_writer(self, claim):
-        """Return a link towards the shard's data centre, or None if it is here."""
-        own = self._node.identity.data_centre
+        """Return a link to the shard's data centre, or None if it is the local one."""
+        local_data_centre = self._node.identity.data_centre
         links = self._writable_links()
-        places = {own, *(link.hello.data_centre for link in links)}
-        place = rendezvous_order(hash64(self._shard_key(claim)), sorted(places))[0]
+        data_centres = {local_data_centre, *(link.hello.data_centre for link in links)}
+        data_centre = rendezvous_order(
+            hash64(self._shard_key(claim)), sorted(data_centres)
+        )[0]
         link_by_name = {
             link.peer_instance: link
             for link in links
-            if link.hello.data_centre == place != own
+            if link.hello.data_centre == data_centre != local_data_centre
         }
-        return self._first_of(link_by_name, list(link_by_name), claim)
+        return self._first_ranked(link_by_name, list(link_by_name), claim)
 
     def _local_writer(self, claim):
-        """Return the link to this data centre's writer, or None if it is here."""
-        own = self._node.identity
+        """Return a link to this data centre's writer, or None if it is this entry."""
+        identity = self._node.identity
         link_by_name = {
             link.peer_instance: link
             for link in self._writable_links()
-            if link.hello.data_centre == own.data_centre
+            if link.hello.data_centre == identity.data_centre
         }
-        return self._first_of(link_by_name, [own.instance, *link_by_name], claim)
+        return self._first_ranked(
+            link_by_name, [identity.instance, *link_by_name], claim
+        )
 
-    def _first_of(self, link_by_name, names, claim):
+    def _first_ranked(self, link_by_name, names, claim):
         order = rendezvous_order(hash64(self._shard_key(claim)), names)
         return link_by_name.get(order[0]) if order else None
 
@@ -163,8 +170,8 @@
             return False
         if self._node.departures.is_leaving(name, link.peer_incarnation):
             return False
-        silent_until = self._silent_until_by_name.get(name, 0.0)
-        return silent_until <= self._node.clock.monotonic()
+        excluded_until = self._excluded_until_by_name.get(name, 0.0)
+        return excluded_until <= self._node.clock.monotonic()
 
     def _shard_key(self, claim):
         number = hash64(claim.key) % self._node.settings.claims_shards
@@ -180,30 +187,30 @@
 
 @entry_handlers.on(ClaimChange)
 async def on_claim_change(node, link, message):
-    """Make a change for another entry, which waits for the answer to a claim."""
-    if isinstance(node.claims.keeper, BatchedKeeper):
-        node.tasks.start(_change_for(node, link, message), name="claim change")
+    """Make a change for another entry and, if it creates a claim, reply."""
+    if isinstance(node.claims.claim_store, BatchedClaimStore):
+        node.tasks.start(_change_for_peer(node, link, message), name="claim change")
 
 
-async def _change_for(node, link, message):
+async def _change_for_peer(node, link, message):
     claim = Claim(**{f.name: getattr(message, f.name) for f in _FIELDS})
     try:
-        held = await node.claims.keeper.change_for(link, message.action, claim)
+        held = await node.claims.claim_store.change_for_peer(
+            link, message.action, claim
+        )
     except MagnoliagradeError:
         held = None
     if message.action != "claim":
         return
     if held is None:
-        answer = ClaimAnswer(asked=message.operation, is_available=False)
+        reply = ClaimAnswer(asked=message.operation, is_available=False)
     else:
-        answer = ClaimAnswer(
-            asked=message.operation, is_available=True, **_fields(held)
-        )
-    link.send(answer)
+        reply = ClaimAnswer(asked=message.operation, is_available=True, **_fields(held))
+    link.send(reply)
 
 
 @entry_handlers.on(ClaimAnswer)
 async def on_claim_answer(node, link, message):
-    """Pass an answer on to the claim that waits for it."""
-    if isinstance(node.claims.keeper, BatchedKeeper):
-        node.claims.keeper.on_answer(message)
+    """Pass a reply to the claim that waits for it."""
+    if isinstance(node.claims.claim_store, BatchedClaimStore):
+        node.claims.claim_store.on_reply(message)
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/claims/guard.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/claims/guard.py
@@ -1,4 +1,4 @@
-"""Serving a request with an idempotency key at most once."""
+"""At-most-once execution of requests with an idempotency key."""
 
 import dataclasses
 import logging
@@ -8,14 +8,14 @@
 from magnoliagrade.observability import log_event
 from prometheus_client import Counter
 
-from magnoliagrade_entry.claims.keeper import claim_keepers
 from magnoliagrade_entry.claims.records import NOT_RECORDED, claim_of
+from magnoliagrade_entry.claims.store import claim_stores
 
 __all__ = ["ClaimGuard"]
 
 RETRY_AFTER_S = 1.0
-RECORDS_LIMIT_S = 5.0
-RECORDS_POLL_S = 0.02
+RECORDS_TIMEOUT_S = 5.0
+RECORDS_POLL_INTERVAL_S = 0.02
 CLAIMS = Counter(
     "magnoliagrade_claims_total", "Requests with an idempotency key", ["result"]
 )
@@ -23,7 +23,7 @@
 
 
 class ClaimGuard:
-    """Dispatches a keyed request only for the creator of the key's claim.
+    """Dispatches a request with an idempotency key only if it creates the claim.
 
     Parameters
     ----------
@@ -31,22 +31,25 @@
         The entry.
     """
 
-    __slots__ = ("_node", "_records_in_flight", "keeper")
+    __slots__ = ("_node", "_records_in_flight", "claim_store")
 
     def __init__(self, *, node):
         self._node = node
         self._records_in_flight = 0
-        self.keeper = claim_keepers.get(node.settings.claims_keeper)(node=node)
+        self.claim_store = claim_stores.get(node.settings.claims_keeper)(node=node)
 
     async def serve(self, request, sink, dispatch):
-        """Serve a request, under a claim if it has a key and may run only once.
+        """Dispatch a request, or replay the recorded response to an earlier copy.
+
+        Only non-repeatable requests with an idempotency key are claimed; any other
+        is dispatched directly.
 
         Parameters
         ----------
         request : Request
             The request.
         sink : ResponseSink
-            Where the answer goes.
+            Destination of the response.
         dispatch : coroutine function
             Called with request and sink.
 
@@ -62,16 +65,16 @@
         claim = self._claim_of(request)
         held = await self._claim(request, claim)
         if held.operation != claim.operation:
-            await _answer_copy(claim, held, sink)
+            await _respond_to_copy(claim, held, sink)
             return
         CLAIMS.labels("created").inc()
         await self._dispatch(request, claim, sink, dispatch)
 
     async def wait_for_records(self):
-        """Wait until the outcomes of answered requests are recorded, for a while."""
-        limit = self._node.clock.monotonic() + RECORDS_LIMIT_S
-        while self._records_in_flight and self._node.clock.monotonic() < limit:
-            await self._node.clock.sleep(RECORDS_POLL_S)
+        """Wait, at most `RECORDS_TIMEOUT_S`, until outcomes in flight are recorded."""
+        timeout_at = self._node.clock.monotonic() + RECORDS_TIMEOUT_S
+        while self._records_in_flight and self._node.clock.monotonic() < timeout_at:
+            await self._node.clock.sleep(RECORDS_POLL_INTERVAL_S)
 
     def _claim_of(self, request):
         clock = self._node.clock
@@ -79,19 +82,19 @@
             request,
             operation=self._node.identity.new_attempt_id(),
             now=clock.now().timestamp(),
-            left_s=request.deadline - clock.monotonic(),
+            remaining_s=request.deadline - clock.monotonic(),
             lifetime_s=self._node.settings.claims_lifetime_s,
         )
 
     async def _claim(self, request, claim):
         try:
-            return await self.keeper.claim(claim)
+            return await self.claim_store.claim(claim)
         except MagnoliagradeError as exc:
             CLAIMS.labels("refused").inc()
             log_event(_log, "claim.refused", request_id=request.id, detail=exc.detail)
-            # The write may still land; nobody dispatches under it.
-            self._later(self.keeper.release(claim))
-            detail = f"the key could not be claimed: {exc.detail}"
+            # The write may still be applied, although the request is not dispatched.
+            self._record_in_background(self.claim_store.release(claim))
+            detail = f"the idempotency key could not be claimed: {exc.detail}"
             raise MagnoliagradeError(
                 ErrorKind.STORE_UNAVAILABLE, detail, retry_after=RETRY_AFTER_S
             ) from exc
@@ -102,39 +105,39 @@
             await dispatch(request, recording)
         except MagnoliagradeError as exc:
             if response_of(exc.kind).ran is Ran.NO:
-                self._later(self.keeper.release(claim))
+                self._record_in_background(self.claim_store.release(claim))
             raise
-        settled = dataclasses.replace(claim, status=recording.status)
+        outcome = dataclasses.replace(claim, status=recording.status)
         recorded = recording.recorded
         if recorded is None:
-            settled.drop_body()
+            outcome.drop_body()
         else:
-            settled.content_type = recorded.content_type
-            settled.body = recorded.body
-        self._later(self.keeper.settle(settled))
+            outcome.content_type = recorded.content_type
+            outcome.body = recorded.body
+        self._record_in_background(self.claim_store.record_outcome(outcome))
 
-    def _later(self, work):
-        self._node.tasks.start(self._record(work), name="claim record")
+    def _record_in_background(self, write):
+        self._node.tasks.start(self._record(write), name="claim record")
 
-    async def _record(self, work):
+    async def _record(self, write):
         self._records_in_flight += 1
         try:
-            await work
+            await write
         except MagnoliagradeError as exc:
             log_event(_log, "claim.unrecorded", code=exc.kind.value, detail=exc.detail)
         finally:
             self._records_in_flight -= 1
 
 
-async def _answer_copy(claim, held, sink):
+async def _respond_to_copy(claim, held, sink):
     if held.digest != claim.digest:
         CLAIMS.labels("key-reused").inc()
-        detail = "the idempotency key was used for another request"
+        detail = "the idempotency key was used with a different request"
         raise MagnoliagradeError(ErrorKind.KEY_REUSED, detail)
     if not held.status or held.content_type == NOT_RECORDED:
         CLAIMS.labels("already-claimed").inc()
-        what = f"ended with {held.status}" if held.status else "was dispatched"
-        detail = f"the request of this idempotency key {what}"
+        state = f"ended with {held.status}" if held.status else "was dispatched"
+        detail = f"the request with this idempotency key {state}"
         raise MagnoliagradeError(ErrorKind.ALREADY_CLAIMED, detail)
     CLAIMS.labels("replayed").inc()
     recorded = RecordedResponse(
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/claims/records.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/claims/records.py
@@ -1,39 +1,40 @@
-"""Claims as they are stored."""
+"""Claims in the form in which they are stored."""
 
 import base64
 import hashlib
 import json
 from dataclasses import dataclass
 
-__all__ = ["CLOCK_SKEW_S", "NOT_RECORDED", "Claim", "claim_of"]
+__all__ = ["MAX_CLOCK_SKEW_S", "NOT_RECORDED", "Claim", "claim_of"]
 
-# Clocks of entries differ by less; a claim is dropped so much later.
-CLOCK_SKEW_S = 60.0
-# Content type of an outcome whose body was too long to keep.
+# Upper bound on the difference between entries' clocks. Claims live longer by it, so
+# that an entry whose clock is ahead does not drop one early.
+MAX_CLOCK_SKEW_S = 60.0
+# Content type of an outcome whose body was too long to store.
 NOT_RECORDED = "-"
 _DIGEST_BYTES = 16
 
 
 @dataclass(slots=True, kw_only=True)
 class Claim:
-    """Who dispatches the request of an idempotency key, and how it ended.
+    """The one dispatch of an idempotency key's request, with its outcome.
 
     Parameters
     ----------
     key : str
-        Digest of organisation and key.
+        Digest of organisation and idempotency key.
     digest : str
         Digest of method, path and body.
     operation : str
-        Id of the request's claim; no other claim has it.
+        Unique id of the claim.
     until : float
         Wall-clock seconds after which the claim may be dropped.
     status : int
-        HTTP status of the recorded outcome; 0 while there is none.
+        HTTP status of the recorded response; 0 if none is recorded yet.
     content_type : str
-        Of the recorded answer.
+        Content type of the recorded response.
     body : bytes
-        Body of the recorded answer.
+        Body of the recorded response.
     """
 
     key: str
@@ -45,12 +46,12 @@
     body: bytes = b""
 
     def drop_body(self):
-        """Keep of the outcome only its status."""
+        """Discard the recorded body and content type; the status stays."""
         self.content_type = NOT_RECORDED
         self.body = b""
 
     def encoded(self):
-        """Return the claim as one line of JSON without its line end."""
+        """Return the claim as a line of JSON without a line terminator."""
         row = [self.key, self.digest, self.operation, round(self.until)]
         if self.status:
             body = base64.b64encode(self.body).decode()
@@ -59,7 +60,7 @@
 
     @classmethod
     def decoded(cls, line):
-        """Return the claim that a line holds.
+        """Return the claim that a line of JSON encodes.
 
         Examples
         --------
@@ -75,8 +76,8 @@
         return claim
 
 
-def claim_of(request, *, operation, now, left_s, lifetime_s):
-    """Return the claim that a request makes.
+def claim_of(request, *, operation, now, remaining_s, lifetime_s):
+    """Return a new claim for a request.
 
     Parameters
     ----------
@@ -86,17 +87,17 @@
         Id of the claim.
     now : float
         Wall-clock time in seconds.
-    left_s : float
-        Time until the request's deadline, which the claim outlives.
+    remaining_s : float
+        Seconds until the request's deadline, which the claim outlives.
     lifetime_s : float
-        How long the claim holds at least.
+        Minimum lifetime of the claim in seconds.
     """
     content = f"{request.method}\0{request.path}\0".encode() + request.body
     return Claim(
         key=_digest(f"{request.organisation}\0{request.idempotency_key}".encode()),
         digest=_digest(content),
         operation=operation,
-        until=now + max(lifetime_s, left_s) + CLOCK_SKEW_S,
+        until=now + max(lifetime_s, remaining_s) + MAX_CLOCK_SKEW_S,
     )
 
 
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/claims/shard.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/claims/shard.py
@@ -1,4 +1,4 @@
-"""One shard of claims: a value of the store that is written in batches."""
+"""One shard of the claims: a value in the store, written in batches."""
 
 import asyncio
 import contextlib
@@ -10,19 +10,19 @@
 from magnoliagrade.store import StoreConflict, StoreUnavailable
 from prometheus_client import Counter, Histogram
 
-from magnoliagrade_entry.claims.keeper import PURPOSE
 from magnoliagrade_entry.claims.records import Claim
+from magnoliagrade_entry.claims.store import PURPOSE
 
 __all__ = ["Shard"]
 
 BATCH_DELAY_S = 0.005
-RECORD_DELAY_S = 0.25
-CLAIM_WAIT_S = 1.0
-RECORD_WAIT_S = 60.0
-RETRY_PAUSE_S = 0.05
-RETRY_PAUSE_MAX_S = 2.0
-REFUSE_AFTER_FAILURE_S = 1.0
-VALUE_LIMIT_BYTES = 900_000
+RECORD_BATCH_DELAY_S = 0.25
+CLAIM_TIMEOUT_S = 1.0
+RECORD_TIMEOUT_S = 60.0
+INITIAL_RETRY_DELAY_S = 0.05
+MAX_RETRY_DELAY_S = 2.0
+REJECT_AFTER_FAILURE_S = 1.0
+MAX_VALUE_BYTES = 900_000
 
 BATCH_SIZE = Histogram(
     "magnoliagrade_claim_batch_changes",
@@ -37,34 +37,38 @@
 
 @dataclass(slots=True, kw_only=True)
 class _Change:
-    """A change that waits for the next write."""
+    """A change of a claim that waits to be written.
+
+    `timeout_at` is a monotonic time in seconds; `future` gets the claim in force.
+    """
 
     action: str
     claim: Claim
-    until: float
-    done: asyncio.Future
+    timeout_at: float
+    future: asyncio.Future
 
 
 class _ShardFull(MagnoliagradeError):
-    """A shard holds as many live claims as fit into a value."""
+    """Raised if a shard's live claims exceed the size limit of a store value."""
 
 
 class Shard:
-    """Claims of one shard, as last read or written.
+    """Claims of one shard, as last read from or written to the store.
 
     Parameters
     ----------
     node : EntryInstance
         The entry.
     key : str
-        Key of the shard's value.
+        Key of the shard's value in the store.
 
     Notes
     -----
-    Changes that arrive during a write go into the next one, so writes grow with
-    time and shards and not with requests. The compare-and-swap keeps the claims
-    right however many entries write; a wrong guess of the writer costs a conflict
-    and a read. Time of a batch grows with the claims in the shard.
+    Changes that arrive during a write go into the next one, so the number of writes
+    grows with time and shards but not with requests. The compare-and-swap keeps the
+    claims correct with any number of entries writing; two entries that both act as
+    the shard's writer cost a conflict and a read. The time of a batch grows with the
+    number of claims in the shard.
     """
 
     __slots__ = (
@@ -73,9 +77,9 @@
         "_key",
         "_line_by_key",
         "_node",
-        "_refuse_until",
+        "_pending",
+        "_reject_until",
         "_revision",
-        "_waiting",
         "_writer",
     )
 
@@ -86,78 +90,86 @@
         self._has_claim = asyncio.Event()
         self._line_by_key = {}
         self._revision = None
-        self._refuse_until = 0.0
-        self._waiting = []
+        self._reject_until = 0.0
+        self._pending = []
         self._writer = None
 
     async def change(self, action, claim):
-        """Make a change with the next batch.
+        """Make a change with the next batch; return the claim in force.
 
         Parameters
         ----------
         action : str
             `claim`, `settle` or `release`.
         claim : Claim
-            The claim.
+            Claim to create, update or delete.
 
         Returns
         -------
         held : Claim or None
-            The claim that holds afterwards.
+            The claim in force for the key afterwards.
 
         Raises
         ------
         MagnoliagradeError
-            `STORE_UNAVAILABLE` or `STORE_LIMITED`.
+            `STORE_UNAVAILABLE` or `STORE_LIMITED` if the change was not written.
         """
         now = self._node.clock.monotonic()
-        if action == "claim" and now < self._refuse_until:
-            raise StoreUnavailable("the store did not answer lately")
-        wait_s = CLAIM_WAIT_S if action == "claim" else RECORD_WAIT_S
-        done = asyncio.get_running_loop().create_future()
-        self._waiting.append(
-            _Change(action=action, claim=claim, until=now + wait_s, done=done)
+        if action == "claim" and now < self._reject_until:
+            raise StoreUnavailable("the store failed within the last second")
+        timeout_s = CLAIM_TIMEOUT_S if action == "claim" else RECORD_TIMEOUT_S
+        future = asyncio.get_running_loop().create_future()
+        self._pending.append(
+            _Change(
+                action=action, claim=claim, timeout_at=now + timeout_s, future=future
+            )
         )
         if action == "claim":
             self._has_claim.set()
         if self._writer is None:
-            self._writer = self._node.tasks.start(self._write_all(), name=self._key)
-        return await done
+            self._writer = self._node.tasks.start(self._write_pending(), name=self._key)
+        return await future
 
-    async def _write_all(self):
+    async def _write_pending(self):
         try:
-            pause = RETRY_PAUSE_S
-            while self._waiting:
+            delay_s = INITIAL_RETRY_DELAY_S
+            while self._pending:
                 await self._gather_batch()
-                batch, self._waiting = self._waiting, []
+                batch, self._pending = self._pending, []
                 self._has_claim.clear()
                 if await self._write(batch):
-                    pause = RETRY_PAUSE_S
+                    delay_s = INITIAL_RETRY_DELAY_S
                     continue
-                self._waiting = [c for c in batch if not c.done.done()] + self._waiting
-                if any(c.action == "claim" for c in self._waiting):
+                self._pending = [
+                    c for c in batch if not c.future.done()
+                ] + self._pending
+                if any(c.action == "claim" for c in self._pending):
                     self._has_claim.set()
-                await self._node.clock.sleep(pause * self._node.rng.uniform(0.5, 1))
-                pause = min(RETRY_PAUSE_MAX_S, pause * 2)
+                await self._node.clock.sleep(delay_s * self._node.rng.uniform(0.5, 1))
+                delay_s = min(MAX_RETRY_DELAY_S, delay_s * 2)
                 self._fail_overdue()
         finally:
             self._writer = None
 
     async def _gather_batch(self):
-        """Wait for more changes; outcomes wait for a claim to be written with."""
+        """Wait for more changes to be written together.
+
+        Outcomes and releases wait up to `RECORD_BATCH_DELAY_S` to be written along with
+        a claim; then all wait `BATCH_DELAY_S` for other changes.
+        """
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(RECORD_DELAY_S):
+            async with asyncio.timeout(RECORD_BATCH_DELAY_S):
                 await self._has_claim.wait()
         await self._node.clock.sleep(BATCH_DELAY_S)
 
     async def _write(self, batch):
-        """Write a batch; return whether all its changes are done."""
+        """Write a batch; return whether that succeeded."""
         try:
-            is_fresh = self._revision is None
-            if is_fresh:
+            is_newly_read = self._revision is None
+            if is_newly_read:
                 await self._read()
             held = [self._apply(change) for change in batch]
-            if not any(is_changed for _, is_changed in held) and not is_fresh:
+            if not any(is_changed for _, is_changed in held) and not is_newly_read:
                 self._revision = None
                 return await self._write(batch)
             if any(is_changed for _, is_changed in held):
@@ -168,13 +180,13 @@
             return False
         except MagnoliagradeError as exc:
             self._revision = None
-            self._note_failure(batch, exc)
+            self._record_failure(batch, exc)
             return False
         BATCH_SIZE.observe(len(batch))
-        self._refuse_until = 0.0
+        self._reject_until = 0.0
         for change, (claim, _) in zip(batch, held, strict=True):
-            if not change.done.done():
-                change.done.set_result(claim)
+            if not change.future.done():
+                change.future.set_result(claim)
         return True
 
     async def _read(self):
@@ -195,13 +207,13 @@
         )
 
     def _apply(self, change):
-        """Apply a change here; return the claim that holds and whether it changed."""
+        """Apply a change; return the claim in force and whether it changed."""
         claim = change.claim
         held = self._claim_by_key.get(claim.key)
         if change.action == "claim":
             if held is not None and not self._is_expired(held):
                 return held, False
-            self._set(claim)
+            self._set_claim(claim)
             return claim, True
         if held is None or held.operation != claim.operation:
             return held, False
@@ -211,10 +223,10 @@
             return None, True
         if held.status:
             return held, False
-        self._set(claim)
+        self._set_claim(claim)
         return claim, True
 
-    def _set(self, claim):
+    def _set_claim(self, claim):
         self._claim_by_key[claim.key] = claim
         self._line_by_key[claim.key] = claim.encoded()
 
@@ -231,19 +243,19 @@
     def _encoded(self):
         size = sum(len(line) + 1 for line in self._line_by_key.values())
         for key, claim in self._claim_by_key.items():
-            if size <= VALUE_LIMIT_BYTES:
+            if size <= MAX_VALUE_BYTES:
                 break
             if claim.body:
                 size -= len(self._line_by_key[key])
                 claim.drop_body()
                 self._line_by_key[key] = claim.encoded()
                 size += len(self._line_by_key[key])
-        if size > VALUE_LIMIT_BYTES:
-            detail = f"{self._key} holds {len(self._claim_by_key)} claims"
+        if size > MAX_VALUE_BYTES:
+            detail = f"shard {self._key} is full with {len(self._claim_by_key)} claims"
             raise _ShardFull(ErrorKind.STORE_LIMITED, detail, retry_after=1)
         return b"\n".join(self._line_by_key.values())
 
-    def _note_failure(self, batch, error):
+    def _record_failure(self, batch, error):
         log_event(
             _log,
             "claims.unwritten",
@@ -254,7 +266,7 @@
         )
         if not isinstance(error, _ShardFull):
             now = self._node.clock.monotonic()
-            self._refuse_until = now + REFUSE_AFTER_FAILURE_S
+            self._reject_until = now + REJECT_AFTER_FAILURE_S
             return
         for change in batch:
             if change.action == "claim":
@@ -262,13 +274,15 @@
 
     def _fail_overdue(self):
         now = self._node.clock.monotonic()
-        for change in self._waiting:
-            if now >= change.until:
-                detail = f"{change.action} {change.claim.operation} was not written"
+        for change in self._pending:
+            if now >= change.timeout_at:
+                detail = (
+                    f"{change.action} {change.claim.operation} was not written in time"
+                )
                 _fail(change, StoreUnavailable(detail))
-        self._waiting = [c for c in self._waiting if not c.done.done()]
+        self._pending = [c for c in self._pending if not c.future.done()]
 
 
 def _fail(change, error):
-    if not change.done.done():
-        change.done.set_exception(error)
+    if not change.future.done():
+        change.future.set_exception(error)
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/claims/single.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/claims/single.py
@@ -1,22 +1,22 @@
-"""Baseline: each claim is a key of its own in the store."""
+"""Baseline claim writes: each claim has its own key in the store."""
 
 from magnoliagrade.errors import ErrorKind, MagnoliagradeError
 from magnoliagrade.store import StoreConflict, StoreUnavailable
 
-from magnoliagrade_entry.claims.keeper import PURPOSE, claim_keepers
-from magnoliagrade_entry.claims.records import CLOCK_SKEW_S, Claim
+from magnoliagrade_entry.claims.records import MAX_CLOCK_SKEW_S, Claim
+from magnoliagrade_entry.claims.store import PURPOSE, claim_stores
 
-__all__ = ["SingleKeeper"]
+__all__ = ["SingleClaimStore"]
 
-WRITE_TRIES = 3
-RELEASE_TRIES = 8
-RETRY_PAUSE_S = 0.1
-LEASE_SHARED_S = 3600.0
+MAX_WRITE_ATTEMPTS = 3
+MAX_CHANGE_ATTEMPTS = 8
+INITIAL_RETRY_DELAY_S = 0.1
+LEASE_REUSE_S = 3600.0
 
 
-@claim_keepers.register("single")
-class SingleKeeper:
-    """Writes each claim by a compare-and-swap that only its creator wins.
+@claim_stores.register("single")
+class SingleClaimStore:
+    """Creates each claim by a compare-and-swap on its own key.
 
     Parameters
     ----------
@@ -25,8 +25,8 @@
 
     Notes
     -----
-    The store drops claims itself: an hour's claims are written under one lease that
-    outlives the last of them by their lifetime and is not renewed.
+    Claims expire with their lease in the store: those of an hour share one lease, which
+    lasts the claims' lifetime beyond that hour and is not renewed.
     """
 
     __slots__ = ("_lease", "_lease_until", "_node")
@@ -37,9 +37,12 @@
         self._lease_until = 0.0
 
     async def claim(self, claim):
-        """Create a claim; a lost answer is resolved by reading it back."""
-        failure = None
-        for _ in range(WRITE_TRIES):
+        """Create a claim unless its key has one; return the claim in force.
+
+        A write whose response was lost is resolved by reading the claim back.
+        """
+        error = None
+        for _ in range(MAX_WRITE_ATTEMPTS):
             try:
                 lease = await self._current_lease()
                 await self._put(claim, expected_revision=0, lease=lease)
@@ -49,14 +52,14 @@
                 if held is not None:
                     return held[0]
             except StoreUnavailable as exc:
-                failure = exc
+                error = exc
                 if not exc.maybe_applied:
                     raise
-        detail = f"claim {claim.operation} is not settled"
-        raise failure or MagnoliagradeError(ErrorKind.STORE_UNAVAILABLE, detail)
+        detail = f"it is unknown whether claim {claim.operation} was written"
+        raise error or MagnoliagradeError(ErrorKind.STORE_UNAVAILABLE, detail)
 
-    async def settle(self, claim):
-        """Replace the claim by one with its outcome."""
+    async def record_outcome(self, claim):
+        """Replace the stored claim by one with its outcome."""
 
         async def write(revision):
             lease = await self._current_lease()
@@ -65,7 +68,7 @@
         await self._change(claim, write)
 
     async def release(self, claim):
-        """Delete the claim."""
+        """Delete the claim if it is in force."""
 
         async def write(revision):
             await self._node.store.delete(
@@ -75,7 +78,7 @@
         await self._change(claim, write)
 
     async def _change(self, claim, write):
-        for turn in range(RELEASE_TRIES):
+        for attempt in range(MAX_CHANGE_ATTEMPTS):
             try:
                 held = await self._get(claim)
                 if held is None or held[0].operation != claim.operation:
@@ -83,7 +86,7 @@
                 await write(held[1])
                 return
             except MagnoliagradeError:
-                await self._node.clock.sleep(RETRY_PAUSE_S * 2**turn)
+                await self._node.clock.sleep(INITIAL_RETRY_DELAY_S * 2**attempt)
 
     async def _put(self, claim, *, expected_revision, lease):
         await self._node.store.put(
@@ -102,9 +105,9 @@
         now = self._node.clock.monotonic()
         if now >= self._lease_until:
             ttl_s = self._node.settings.claims_lifetime_s
-            ttl_s += LEASE_SHARED_S + CLOCK_SKEW_S
+            ttl_s += LEASE_REUSE_S + MAX_CLOCK_SKEW_S
             self._lease = await self._node.store.grant_lease(ttl_s, purpose=PURPOSE)
-            self._lease_until = now + LEASE_SHARED_S
+            self._lease_until = now + LEASE_REUSE_S
         return self._lease
 
 
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/claims/tests/test_keepers.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/claims/tests/test_stores.py
@@ -1,4 +1,4 @@
-"""Both keepers against the store stand-in, with lost answers and other writers."""
+"""Both claim stores against the stand-in, with lost responses and several writers."""
 
 import asyncio
 import random
@@ -14,13 +14,13 @@
 from magnoliagrade.node import Tasks
 from magnoliagrade_standins.platform import MemoryStore, StoreFaults
 
-from magnoliagrade_entry.claims import Claim, claim_keepers, shard
+from magnoliagrade_entry.claims import Claim, claim_stores, shard
 
 LIFETIME_S = 3600.0
 
 
 class ShiftedClock(SystemClock):
-    """Wall clock of one entry; only its sleeps are real, and short."""
+    """Clock with an adjustable wall-clock offset; sleeps last at most 1 ms."""
 
     def __init__(self):
         self.shift_s = 0.0
@@ -52,9 +52,9 @@
     return Claim(key=key, digest="d", operation=operation, until=until)
 
 
-async def _claim_or_none(keeper, claim):
+async def _claim_or_none(claim_store, claim):
     try:
-        return await keeper.claim(claim)
+        return await claim_store.claim(claim)
     except MagnoliagradeError:
         return None
 
@@ -63,10 +63,10 @@
     store = MemoryStore(clock=SystemClock())
     store.set_faults(StoreFaults(lose_write_answers=lost))
     nodes = [_node(store, i) for i in range(3)]
-    keepers = [claim_keepers.get(name)(node=node) for node in nodes]
+    store_by_number = [claim_stores.get(name)(node=node) for node in nodes]
     claims = [_claim(nodes[i % 3], key=f"k{i % 2}") for i in range(copies)]
     held = await asyncio.gather(
-        *(_claim_or_none(keepers[i % 3], c) for i, c in enumerate(claims))
+        *(_claim_or_none(store_by_number[i % 3], c) for i, c in enumerate(claims))
     )
     return [(c, h) for c, h in zip(claims, held, strict=True) if h is not None]
 
@@ -83,54 +83,54 @@
         assert creators or not of_key
 
 
-def test_outcome_is_kept_and_release_frees_the_key():
+def test_outcome_is_replayed_until_release_frees_the_key():
     async def run(name):
         node = _node(MemoryStore(clock=SystemClock()))
-        keeper = claim_keepers.get(name)(node=node)
-        first = await keeper.claim(_claim(node))
+        claim_store = claim_stores.get(name)(node=node)
+        first = await claim_store.claim(_claim(node))
         first.status, first.body = 200, b"3 books"
-        await keeper.settle(first)
-        copy = await keeper.claim(_claim(node))
+        await claim_store.record_outcome(first)
+        copy = await claim_store.claim(_claim(node))
         assert (copy.operation, copy.status) == (first.operation, 200)
         assert copy.body == b"3 books"
-        await keeper.release(first)
+        await claim_store.release(first)
         fresh = _claim(node)
-        assert (await keeper.claim(fresh)).operation == fresh.operation
+        assert (await claim_store.claim(fresh)).operation == fresh.operation
 
-    for name in claim_keepers.names():
+    for name in claim_stores.names():
         asyncio.run(run(name))
 
 
-def test_shard_drops_claims_only_after_their_time():
+def test_shard_drops_claims_only_after_their_lifetime():
     async def run():
         node = _node(MemoryStore(clock=SystemClock()))
-        keeper = claim_keepers.get("batched")(node=node)
-        first = await keeper.claim(_claim(node))
+        claim_store = claim_stores.get("batched")(node=node)
+        first = await claim_store.claim(_claim(node))
         node.clock.shift_s = LIFETIME_S - 1
-        assert (await keeper.claim(_claim(node))).operation == first.operation
+        assert (await claim_store.claim(_claim(node))).operation == first.operation
         node.clock.shift_s = LIFETIME_S + 1
         again = _claim(node)
-        assert (await keeper.claim(again)).operation == again.operation
+        assert (await claim_store.claim(again)).operation == again.operation
 
     asyncio.run(run())
 
 
-@mock.patch.object(shard, "VALUE_LIMIT_BYTES", 2000)
-def test_full_shard_drops_bodies_and_refuses_rather_than_forget():
+@mock.patch.object(shard, "MAX_VALUE_BYTES", 2000)
+def test_full_shard_drops_bodies_and_rejects_new_claims_but_keeps_the_old():
     async def fill():
         node = _node(MemoryStore(clock=SystemClock()))
-        keeper = claim_keepers.get("batched")(node=node)
+        claim_store = claim_stores.get("batched")(node=node)
         kept = []
         for i in range(100):
-            claim = await _claim_or_none(keeper, _claim(node, key=f"k{i}"))
+            claim = await _claim_or_none(claim_store, _claim(node, key=f"k{i}"))
             if claim is None:
                 break
             claim.status, claim.content_type, claim.body = 200, "text/plain", b"x" * 99
-            await keeper.settle(claim)
+            await claim_store.record_outcome(claim)
             kept.append(claim)
         assert 5 < len(kept) < 100
         for claim in kept:
-            copy = await keeper.claim(_claim(node, key=claim.key))
+            copy = await claim_store.claim(_claim(node, key=claim.key))
             assert copy.operation == claim.operation
             assert copy.body == b"x" * 99 or copy.content_type == "-"
 
