--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Keyed orders sent through two entries, with the store in trouble."""
+"""At-most-once execution of orders with an idempotency key, with store failures."""
 
 import asyncio
 
@@ -12,26 +12,26 @@
 SERVICE = "kamloops-service-0"
 
 
-def test_copies_through_two_entries_run_once():
+def test_copies_sent_through_two_entries_run_once():
     asyncio.run(_send_copies())
 
 
 async def _send_copies():
     async with Site(plan=PLAN) as site:
         copies = [_order(site, ENTRIES[i % 2], "key-1") for i in range(6)]
-        answers = await asyncio.gather(*copies)
+        responses = await asyncio.gather(*copies)
         assert len(await _runs(site)) == 1
-        codes = {a.code for a in answers if a.status != 200}
-        assert codes <= {"ALREADY_CLAIMED"}, answers
-        assert [a.status for a in answers].count(200) >= 1
-        later = await _until_recorded(site, "key-1")
+        codes = {r.code for r in responses if r.status != 200}
+        assert codes <= {"ALREADY_CLAIMED"}, responses
+        assert [r.status for r in responses].count(200) >= 1
+        later = await _send_until_replayed(site, "key-1")
         assert later.body["number"] == 1
         reused = await _order(site, ENTRIES[1], "key-1", body=b"other")
         assert (reused.status, reused.code) == (422, "KEY_REUSED")
         assert len(await _runs(site)) == 1
 
 
-def test_store_down_refuses_keyed_orders_and_runs_others():
+def test_store_outage_rejects_keyed_orders_and_runs_others():
     asyncio.run(_store_down())
 
 
@@ -44,32 +44,32 @@
         plain = await call_service(site, ENTRIES[0])
         assert plain.status == 200
         await site.control_platform("faults", {})
-        await _until_recorded(site, "key-1")
+        await _send_until_replayed(site, "key-1")
         assert len(await _runs(site)) == 2
 
 
-def test_lost_store_answers_do_not_double_an_order():
-    asyncio.run(_lose_answers())
+def test_order_runs_once_when_store_responses_are_lost():
+    asyncio.run(_lose_responses())
 
 
-async def _lose_answers():
+async def _lose_responses():
     async with Site(plan=PLAN) as site:
         for number in range(4):
             await site.control_platform("faults", {"lose_write_answers": 2})
-            answer = await _order(site, ENTRIES[0], f"key-{number}")
-            assert answer.status == 200, answer
+            response = await _order(site, ENTRIES[0], f"key-{number}")
+            assert response.status == 200, response
         assert len(await _runs(site)) == 4
 
 
-async def _until_recorded(site, key):
-    """Send copies until one is answered by the recorded outcome."""
-    for turn in range(200):
-        answer = await _order(site, ENTRIES[turn % 2], key)
-        if answer.status == 200:
-            return answer
-        assert answer.code in ("ALREADY_CLAIMED", "STORE_UNAVAILABLE"), answer
+async def _send_until_replayed(site, key):
+    """Send copies until one gets the recorded response, and return that."""
+    for number in range(200):
+        response = await _order(site, ENTRIES[number % 2], key)
+        if response.status == 200:
+            return response
+        assert response.code in ("ALREADY_CLAIMED", "STORE_UNAVAILABLE"), response
         await asyncio.sleep(0.05)
-    raise AssertionError(f"{key} was never answered: {answer}")
+    raise AssertionError(f"{key} got no recorded response: {response}")
 
 
 async def _order(site, entry, key, body=b"3 books"):
--- a/tests/test_whole_answers.py
+++ b/tests/test_whole_answers.py
@@ -1,4 +1,7 @@
-"""Truncated, dropped, crossed, repeated and trailing answers of the back ends."""
+"""Callers get complete responses of their own request when back ends misbehave.
+
+The back ends truncate, drop, swap or repeat responses, or send data after their end.
+"""
 
 import asyncio
 import json
@@ -8,18 +11,18 @@
 from magnoliagrade_standins.harness import Site, SitePlan, call_service
 from magnoliagrade_standins.harness.configurations import CONFIGURATION
 
-# What is tested is each answer, not the budget.
-GENEROUS = CONFIGURATION.replace(
+# Retries without a budget, so that it does not limit these tests.
+CONFIGURATION_WITH_RETRIES = CONFIGURATION.replace(
     "_limit = 16", "_limit = 16\noption.retry.policy = naive"
 )
-GENEROUS = GENEROUS.replace(
+CONFIGURATION_WITH_RETRIES = CONFIGURATION_WITH_RETRIES.replace(
     "_limit = 600\n", "_limit = 600\noption.retry.policy = naive\n"
 )
 PLAN = SitePlan(
     entries_by_data_centre={"kamloops": 1, "kelowna": 1},
     engines_by_data_centre={"kamloops": 3, "kelowna": 1},
     services_by_data_centre={"kamloops": 2},
-    configuration=GENEROUS,
+    configuration=CONFIGURATION_WITH_RETRIES,
     has_proxy=True,
 )
 ENTRY = "kamloops-entry-0"
@@ -30,11 +33,11 @@
 FAULTS = ("truncate", "drop", "cross", "repeat", "trail")
 
 
-def test_every_answer_is_whole_and_own():
-    asyncio.run(_every_answer())
+def test_each_response_is_complete_and_belongs_to_its_request():
+    asyncio.run(_check_all_faults())
 
 
-async def _every_answer():
+async def _check_all_faults():
     async with Site(plan=PLAN) as site:
         for fault in FAULTS:
             await _check_models(site, fault)
@@ -44,35 +47,35 @@
 
 
 async def _check_models(site, fault):
-    """Streams are resumed, short answers asked for again."""
+    """Streams are resumed, other responses requested again."""
     for kind, check in (("stream", _check_stream), ("text", _check_text)):
-        # No event follows an answer that is no stream.
+        # Trailing events are sent only after a stream.
         if (fault, kind) != ("trail", "text"):
-            await _check_until_given(site, fault, kind, check)
+            await _check_until_injected(site, fault, kind, check)
 
 
-async def _check_until_given(site, fault, kind, check):
-    before = await _faults_given(site, MODELS)
+async def _check_until_injected(site, fault, kind, check):
+    before = await _injected_count(site, MODELS)
     for number in range(30):
         await _set(site, MODELS, fault, 1)
         await check(site, f"{fault}-{kind}-{number}")
-        if await _faults_given(site, MODELS) >= before + 4:
+        if await _injected_count(site, MODELS) >= before + 4:
             await _set(site, MODELS, fault, 0)
             return
-    raise AssertionError(f"{fault} was hardly ever given")
+    raise AssertionError(f"{fault} was injected fewer than 4 times in 30 requests")
 
 
 async def _check_services(site, fault, number):
-    """Lookups are asked for again, orders are never run again."""
+    """Lookups are sent again, orders never run twice."""
     await _set(site, SERVICES[:1], fault, 1)
     found = await call_service(site, ENTRY, method="GET", path="/orders/stock")
     assert found.status == 200 and found.body["id"] == found.request_id, found
-    given = await _faults_given(site, SERVICES)
+    injected = await _injected_count(site, SERVICES)
     await _set(site, SERVICES, fault, 1)
     name = f"{fault}-order-{number}"
     order = await call_service(site, ENTRY, headers={"X-Request-Id": name})
     if fault != "trail":
-        assert await _faults_given(site, SERVICES) == given + 1
+        assert await _injected_count(site, SERVICES) == injected + 1
     if order.status == 200:
         assert order.body["id"] == name
     else:
@@ -82,7 +85,7 @@
 
 
 async def _check_cut(site):
-    """The connection to an agent is cut at many places of the stream."""
+    """The connection to an agent is cut at several positions in the stream."""
     for limit in (150, 400, 700, 1000):
         target = "kamloops-model-0/data"
         await site.set_rules({"target": target, "cut_after_bytes": limit})
@@ -96,7 +99,7 @@
         await site.control_back_end(name, {"faults": {fault: count}})
 
 
-async def _faults_given(site, back_ends):
+async def _injected_count(site, back_ends):
     return sum([(await site.record(name))["faults"] for name in back_ends])
 
 
@@ -117,10 +120,10 @@
 
 
 async def _check_text(site, name):
-    answer = json.loads(await _complete(site, name, is_stream=False))
-    assert answer["id"] == name
+    response = json.loads(await _complete(site, name, is_stream=False))
+    assert response["id"] == name
     expected = "".join(expected_text(name, i) for i in range(TOKENS))
-    assert answer["choices"][0]["message"]["content"] == expected
+    assert response["choices"][0]["message"]["content"] == expected
 
 
 async def _complete(site, name, *, is_stream):
@@ -139,11 +142,11 @@
         return text
 
 
-def test_stream_that_cannot_be_resumed_never_ends_cleanly():
-    asyncio.run(_abort())
+def test_stream_that_cannot_be_resumed_does_not_end_cleanly():
+    asyncio.run(_exhaust_attempts())
 
 
-async def _abort():
+async def _exhaust_attempts():
     plan = SitePlan(
         entries_by_data_centre={"kamloops": 1},
         engines_by_data_centre={"kamloops": 1},
@@ -155,14 +158,14 @@
                 body = await _complete(site, fault, is_stream=True)
             except aiohttp.ClientError:
                 continue
-            raise AssertionError(f"{fault}: clean end after {body}")
+            raise AssertionError(f"{fault}: stream ended cleanly after {body}")
 
 
-def test_engine_work_ends_when_its_caller_goes():
-    asyncio.run(_leave())
+def test_engine_cancels_a_request_whose_caller_disconnects():
+    asyncio.run(_disconnect_callers())
 
 
-async def _leave():
+async def _disconnect_callers():
     async with Site(plan=PLAN) as site:
         url = site.caller_url(ENTRY) + "/v1/completions"
         for name in site.back_end_by_name:
@@ -173,9 +176,9 @@
             body["stream"] = is_stream
             call = site.session.post(url, json=body, headers=HEADERS)
             task = asyncio.create_task(_read(call))
-            await _until_running(site, 1)
+            await _wait_until_running(site, 1)
             task.cancel()
-            await _until_running(site, 0)
+            await _wait_until_running(site, 0)
 
 
 async def _read(call):
@@ -183,13 +186,15 @@
         await response.read()
 
 
-async def _until_running(site, count):
+async def _wait_until_running(site, count):
     names = [n for n in site.back_end_by_name if "model" in n]
     for _ in range(100):
         if await _running(site, names) == count:
             return
         await asyncio.sleep(0.02)
-    raise AssertionError(f"{await _running(site, names)} requests run, not {count}")
+    raise AssertionError(
+        f"{await _running(site, names)} requests are running, not {count}"
+    )
 
 
 async def _running(site, names):
