--- a/packages/magnoliagrade-entry/magnoliagrade_entry/claims/shard.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/claims/shard.py
@@ -17,10 +17,12 @@
 
 BATCH_DELAY_S = 0.005
 RECORD_BATCH_DELAY_S = 0.25
+# Requests wait for their claims; outcomes and releases are written in the background.
 CLAIM_TIMEOUT_S = 1.0
 RECORD_TIMEOUT_S = 60.0
 INITIAL_RETRY_DELAY_S = 0.05
 MAX_RETRY_DELAY_S = 2.0
+# Claims are rejected for this time after the store failed.
 REJECT_AFTER_FAILURE_S = 1.0
 MAX_VALUE_BYTES = 900_000
 
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/claims/single.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/claims/single.py
@@ -55,7 +55,7 @@
                 error = exc
                 if not exc.maybe_applied:
                     raise
-        detail = f"it is unknown whether claim {claim.operation} was written"
+        detail = f"claim {claim.operation} could be neither written nor read back"
         raise error or MagnoliagradeError(ErrorKind.STORE_UNAVAILABLE, detail)
 
     async def record_outcome(self, claim):
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/requests/attempt.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/requests/attempt.py
@@ -10,7 +10,9 @@
 
 __all__ = ["AttemptFailed", "run_attempt"]
 
+# Only responses with a shorter Content-Length are buffered.
 MAX_BUFFERED_RESPONSE_BYTES = 256 * 1024
+# Longest pause between two reads of a streaming response.
 STALL_TIMEOUT_S = 10.0
 _tracer = get_tracer(__name__)
 
@@ -54,8 +56,8 @@
     Raises
     ------
     AttemptFailed
-        If the response is rejected, belongs to another attempt, is incomplete, or
-        misses the request's deadline.
+        If the request was rejected or its connection lost, or if the response belongs
+        to another attempt, is incomplete or misses the deadline.
 
     Notes
     -----
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/requests/dispatch.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/requests/dispatch.py
@@ -57,7 +57,8 @@
         Raises
         ------
         MagnoliagradeError
-            If no attempt gave a complete response and no further one is allowed.
+            If no attempt gave a complete response; raised as soon as no further attempt
+            is allowed.
         """
         pool = self._node.configuration.in_force.pool_of(request.labels)
         retries = self._retries_of(pool)
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/requests/forwarded.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/requests/forwarded.py
@@ -14,6 +14,8 @@
 
 @dataclass(slots=True, kw_only=True)
 class _SentAttempt:
+    """The attempt by which a forwarded request was sent to its placement."""
+
     placement: Placement
     attempt: str
 
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/requests/revocation.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/requests/revocation.py
@@ -13,8 +13,11 @@
 __all__ = ["RevocationClient"]
 
 REVOKE_TIMEOUT_S = 3.0
+# A revocation without a reply is sent again after this time.
 RESEND_INTERVAL_S = 0.3
+# Interval between checks for a new link, if there is none to the process.
 LINK_POLL_INTERVAL_S = 0.05
+# Interval between revocations of an attempt that is still running.
 RUNNING_POLL_INTERVAL_S = 0.1
 REVOCATIONS = Counter(
     "magnoliagrade_revocations_total", "Withdrawn attempts by result", ["result"]
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/requests/shared_rates.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/requests/shared_rates.py
@@ -8,8 +8,11 @@
 
 BURST_S = 2.0
 MAX_REPORT_AGE_S = 8.0
+# Least demand assumed of an entry, as a fraction of an equal share of the ceiling.
 MIN_DEMAND_FRACTION = 0.05
+# Weight of the last interval in the exponentially smoothed demand.
 DEMAND_WEIGHT = 0.5
+# Organisations with less demand are no longer tracked.
 NEGLIGIBLE_COST_PER_S = 0.5
 
 
@@ -144,7 +147,7 @@
         fresh = [r for r in self._report_by_source.values() if self._is_fresh(r)]
         peers = min(self.entries - 1, sum(r.entries for r in fresh))
         shared = ceiling * (peers + 1) / self.entries
-        # Lower bound on each entry's demand, so that an idle entry keeps a share.
+        # An idle entry keeps a share, because its demand is taken as at least this.
         floor = MIN_DEMAND_FRACTION * ceiling / self.entries
         remote = sum(r.demand_by_organisation.get(organisation, 0.0) for r in fresh)
         local = self.demand_by_organisation.get(organisation, 0.0)
