--- a/packages/magnoliagrade-agent/magnoliagrade_agent/door.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/door.py
@@ -90,7 +90,9 @@
     async def serve(recording):
         await _admit_and_follow(node, request, headers, recording)
 
-    work = _error_of(node.outcomes.follow(headers[names.ATTEMPT], sink, serve))
+    work = _error_of(
+        node.outcomes.serve_and_record(headers[names.ATTEMPT], sink, serve)
+    )
     # An order that was handed over goes on to its end when the entry is gone.
     task = node.tasks.start(work, name=f"order {request.id}")
     error = await asyncio.shield(task)
@@ -156,7 +158,7 @@
         if exc.kind is ErrorKind.NOT_RUN:
             block_endpoint(node)
             if not request.repeatable:
-                node.attempts.undo(attempt)
+                node.attempts.record_undelivered(attempt)
         raise
 
 
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/handlers.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/handlers.py
@@ -49,4 +49,4 @@
 async def on_revoke(node, link, message):
     """Withdraw an attempt and say whether it never started, or how it ended."""
     never_started = node.attempts.revoke(message.attempt)
-    link.send(node.outcomes.answer(message.attempt, never_started=never_started))
+    link.send(node.outcomes.revoke_reply(message.attempt, never_started=never_started))
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/direct/arrival.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/direct/arrival.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from magnoliagrade.errors import ErrorKind, MagnoliagradeError
-from magnoliagrade.platform import deadline_of, event_id_of, key_of, request_id_of
+from magnoliagrade.platform import api_key_of, deadline_of, event_id_of, request_id_of
 from magnoliagrade.world.site import ServiceRoute, SiteOrganisation
 
 __all__ = ["DirectRequest", "read_request"]
@@ -144,7 +144,7 @@
     by_key = node.knowledge.configuration.organisation_by_key
     if by_key is None:
         return None
-    key = key_of(headers)
+    key = api_key_of(headers)
     if route.is_public and key not in by_key:
         return None
     limit_s = node.settings.revoke_ms / 1000 - REVOKE_MARGIN_S
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/direct/knowledge.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/direct/knowledge.py
@@ -181,11 +181,13 @@
         elif isinstance(item, EndpointItem):
             self._apply_endpoint(item, revision)
         elif isinstance(item, EvacuationItem):
-            change = self.evacuated.add if item.is_out else self.evacuated.discard
+            change = self.evacuated.add if item.is_evacuated else self.evacuated.discard
             change(item.data_centre)
             log_event(
                 _log,
-                "site.data_centre.out" if item.is_out else "site.data_centre.back",
+                "site.data_centre.out"
+                if item.is_evacuated
+                else "site.data_centre.back",
                 data_centre_changed=item.data_centre,
                 revision=revision,
             )
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/doors.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/doors.py
@@ -182,7 +182,7 @@
     async def follow(recording):
         await serve(request, recording)
 
-    await node.outcomes.follow(request.forwarded_attempt, sink, follow)
+    await node.outcomes.serve_and_record(request.forwarded_attempt, sink, follow)
 
 
 async def _error_of(node, work):
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/requests/forwarded.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/requests/forwarded.py
@@ -69,9 +69,9 @@
             if sent is None:
                 return
             if is_not_run and request.forwarded_attempt in self._relayed:
-                self._attempts.undo(request.forwarded_attempt)
+                self._attempts.record_undelivered(request.forwarded_attempt)
             elif is_not_run:
-                self._attempts.forget(request.forwarded_attempt)
+                self._attempts.discard(request.forwarded_attempt)
 
     def revoke(self, link, attempt):
         """Withdraw a peer's attempt and answer over the link."""
@@ -91,13 +91,13 @@
                 sent.placement, sent.attempt, deadline=deadline, is_patient=False
             )
             if answer.never_started:
-                self._attempts.undo(attempt)
+                self._attempts.record_undelivered(attempt)
             self._answer(link, attempt, answer.never_started)
         finally:
             self._relayed.discard(attempt)
 
     def _answer(self, link, attempt, never_started):
-        answer = self._node.outcomes.answer(attempt, never_started=never_started)
+        answer = self._node.outcomes.revoke_reply(attempt, never_started=never_started)
         link.send(answer)
 
 
--- a/packages/magnoliagrade/magnoliagrade/node/attempts.py
+++ b/packages/magnoliagrade/magnoliagrade/node/attempts.py
@@ -79,7 +79,7 @@
             detail = f"attempt {attempt} is older than the book of attempts"
             raise MagnoliagradeError(ErrorKind.OUTCOME_UNKNOWN, detail)
 
-    def undo(self, attempt):
+    def record_undelivered(self, attempt):
         """Note that an attempt which began did not reach the endpoint.
 
         Parameters
@@ -89,7 +89,7 @@
         """
         self._remember(attempt, _State.REVOKED)
 
-    def forget(self, attempt):
+    def discard(self, attempt):
         """Note that an attempt which began did not run and may begin again."""
         self._state_by_attempt.pop(attempt, None)
 
--- a/packages/magnoliagrade/magnoliagrade/node/outcomes.py
+++ b/packages/magnoliagrade/magnoliagrade/node/outcomes.py
@@ -25,7 +25,7 @@
         self._running = set()
         self._recorded_by_attempt = OrderedDict()
 
-    async def follow(self, attempt, sink, serve):
+    async def serve_and_record(self, attempt, sink, serve):
         """Serve an order and keep its answer.
 
         Parameters
@@ -48,7 +48,7 @@
         if len(self._recorded_by_attempt) > MAX_OUTCOMES_KEPT:
             self._recorded_by_attempt.popitem(last=False)
 
-    def answer(self, attempt, *, never_started):
+    def revoke_reply(self, attempt, *, never_started):
         """Return the answer to a `Revoke`.
 
         Parameters
--- a/packages/magnoliagrade/magnoliagrade/node/tests/test_attempts.py
+++ b/packages/magnoliagrade/magnoliagrade/node/tests/test_attempts.py
@@ -24,7 +24,7 @@
 def test_attempt_that_did_not_reach_the_endpoint_counts_as_never_started():
     table = AttemptTable()
     table.begin("e.1.1")
-    table.undo("e.1.1")
+    table.record_undelivered("e.1.1")
     assert table.revoke("e.1.1")
 
 
--- a/packages/magnoliagrade/magnoliagrade/platform/__init__.py
+++ b/packages/magnoliagrade/magnoliagrade/platform/__init__.py
@@ -4,13 +4,13 @@
 from magnoliagrade.platform.endpoints import decode_endpoint
 from magnoliagrade.platform.fields import FormatError
 from magnoliagrade.platform.headers import (
+    api_key_of,
     deadline_of,
     endpoint_headers,
     event_id_of,
     has_not_run,
     is_group_broken,
     is_replaced,
-    key_of,
     request_id_of,
     response_headers,
     response_identity,
@@ -59,7 +59,7 @@
     "instance_key",
     "is_group_broken",
     "is_replaced",
-    "key_of",
+    "api_key_of",
     "list_endpoints",
     "request_id_of",
     "response_headers",
--- a/packages/magnoliagrade/magnoliagrade/platform/headers.py
+++ b/packages/magnoliagrade/magnoliagrade/platform/headers.py
@@ -11,7 +11,7 @@
     "has_not_run",
     "is_group_broken",
     "is_replaced",
-    "key_of",
+    "api_key_of",
     "request_id_of",
     "response_headers",
     "response_identity",
@@ -61,7 +61,7 @@
     return milliseconds / 1000 if 0 <= milliseconds < float("inf") else None
 
 
-def key_of(headers):
+def api_key_of(headers):
     """Return the caller's key, or an empty text."""
     value = headers.get("Authorization", "")
     if not value.lower().startswith(_BEARER):
--- a/packages/magnoliagrade/magnoliagrade/platform/items.py
+++ b/packages/magnoliagrade/magnoliagrade/platform/items.py
@@ -58,7 +58,7 @@
     """Whether a data centre's endpoints are to get nothing."""
 
     data_centre: str
-    is_out: bool
+    is_evacuated: bool
 
 
 @dataclass(slots=True, kw_only=True)
@@ -102,7 +102,7 @@
         return ConfigurationItem(configuration=decoded)
     if key.startswith(_EVACUATION_PREFIX):
         data_centre = key.removeprefix(_EVACUATION_PREFIX)
-        return EvacuationItem(data_centre=data_centre, is_out=value is not None)
+        return EvacuationItem(data_centre=data_centre, is_evacuated=value is not None)
     if key.startswith(_ENDPOINT_PREFIX):
         endpoint_id = key.removeprefix(_ENDPOINT_PREFIX)
         endpoint = None if value is None else decode_endpoint(endpoint_id, value)
