--- a/packages/magnoliagrade/magnoliagrade/platform/__init__.py
+++ b/packages/magnoliagrade/magnoliagrade/platform/__init__.py
@@ -1,4 +1,7 @@
-"""Adapter of the operators' platform: its names, formats and calls."""
+"""Adapter of the operators' platform: its names, formats and calls.
+
+No other package knows the platform's keys, field names and headers.
+"""
 
 from magnoliagrade.platform.configuration import decode_configuration
 from magnoliagrade.platform.endpoints import decode_endpoint
--- a/packages/magnoliagrade/magnoliagrade/platform/configuration.py
+++ b/packages/magnoliagrade/magnoliagrade/platform/configuration.py
@@ -2,12 +2,12 @@
 
 from magnoliagrade.platform.fields import (
     FormatError,
-    flag,
-    load,
-    number,
-    optional,
-    rows,
-    text,
+    boolean_field,
+    load_object,
+    number_field,
+    object_list_field,
+    optional_object,
+    string_field,
 )
 from magnoliagrade.world.site import (
     BackEndService,
@@ -31,111 +31,126 @@
 
 
 def decode_configuration(data):
-    """Return the configuration that bytes hold.
+    """Return the operators' configuration, decoded from JSON.
 
     Parameters
     ----------
     data : bytes
-        Value of the operators' key.
+        Value of the operators' configuration key.
 
     Returns
     -------
     configuration : SiteConfiguration
-        The whole configuration.
+        The complete configuration, with times in seconds.
 
     Raises
     ------
     FormatError
-        If a field that is needed is missing or of another type.
+        If a required field is missing, or a field has another type or an unknown
+        value.
     """
-    document = load(data)
-    services = [_service(row) for row in rows(document, "Services")]
-    tenants = rows(document, "Tenants", None) if "Tenants" in document else None
+    document = load_object(data)
+    services = [_service(item) for item in object_list_field(document, "Services")]
+    tenants = (
+        object_list_field(document, "Tenants", None) if "Tenants" in document else None
+    )
     return SiteConfiguration(
-        version=number(document, "Version"),
-        routes=[_route(row) for row in rows(document, "Routes")],
+        version=number_field(document, "Version"),
+        routes=[_route(item) for item in object_list_field(document, "Routes")],
         service_by_name={service.name: service for service in services},
         organisation_by_key=None if tenants is None else _organisations(tenants),
-        limits=_limits(optional(document, "Limits") or {}),
+        limits=_limits(optional_object(document, "Limits") or {}),
     )
 
 
-def _route(row):
-    kind = text(row, "Kind")
+def _route(document):
+    kind = string_field(document, "Kind")
     if kind not in _KIND_BY_NAME:
-        raise FormatError(f"route kind {kind!r} is not known")
-    if "Split" in row:
+        raise FormatError(f"Kind: unknown route kind {kind!r}")
+    if "Split" in document:
         shares = [
-            ServiceShare(service=text(part, "Service"), weight=number(part, "Weight"))
-            for part in rows(row, "Split")
+            ServiceShare(
+                service=string_field(share, "Service"),
+                weight=number_field(share, "Weight"),
+            )
+            for share in object_list_field(document, "Split")
         ]
     else:
-        shares = [ServiceShare(service=text(row, "Service"), weight=1.0)]
+        shares = [ServiceShare(service=string_field(document, "Service"), weight=1.0)]
     return ServiceRoute(
-        name=text(row, "Name"),
-        host=text(row, "Host").lower(),
-        prefix=text(row, "Prefix"),
+        name=string_field(document, "Name"),
+        host=string_field(document, "Host").lower(),
+        prefix=string_field(document, "Prefix"),
         kind=_KIND_BY_NAME[kind],
         shares=shares,
-        timeout_s=number(row, "TimeoutMs") * MS,
-        objective_s=number(row, "TargetLatencyMs", 0) * MS,
-        gap_objective_s=number(row, "GapAimMs", 0) * MS,
-        priority=int(number(row, "Priority", 5)),
-        max_endpoints=max(1, int(number(row, "MaxAttempts", 1))),
-        is_public=flag(row, "Public"),
-        is_resumable=flag(row, "Resumable"),
+        timeout_s=number_field(document, "TimeoutMs") * MS,
+        objective_s=number_field(document, "TargetLatencyMs", 0) * MS,
+        gap_objective_s=number_field(document, "GapAimMs", 0) * MS,
+        priority=int(number_field(document, "Priority", 5)),
+        max_endpoints=max(1, int(number_field(document, "MaxAttempts", 1))),
+        is_public=boolean_field(document, "Public"),
+        is_resumable=boolean_field(document, "Resumable"),
     )
 
 
-def _service(row):
-    engine = optional(row, "Engine")
+def _service(document):
+    engine = optional_object(document, "Engine")
     return BackEndService(
-        name=text(row, "Name"),
-        max_connections=int(number(row, "MaxConns", 0)),
-        cold_per_s=number(row, "ColdPerS", 0),
+        name=string_field(document, "Name"),
+        max_connections=int(number_field(document, "MaxConns", 0)),
+        cold_per_s=number_field(document, "ColdPerS", 0),
         engine=None if engine is None else _engine(engine),
     )
 
 
-def _engine(row):
-    usual = optional(row, "usual") or {}
+def _engine(document):
+    defaults = optional_object(document, "usual") or {}
     return EngineProfile(
-        slots=int(number(row, "Slots")),
-        step_s=number(row, "step_ms") * MS,
-        sequence_s=number(row, "per_seq_ms") * MS,
-        context_1000_s=number(row, "context_per_k") * MS,
-        read_tokens_per_s=number(row, "read_per_s"),
-        steps_per_pass=int(number(row, "Stride", 1)),
-        usual_prompt=number(usual, "prompt", 0),
-        usual_answer=number(usual, "answer", 0),
-        sets=int(number(row, "Sets", 0)),
-        experts=int(number(row, "Experts", 0)),
-        places=int(number(row, "Places", 0)),
-        spare=int(number(row, "Spare", 0)),
-        expert_share=number(row, "ExpertShare", 0),
-        expert_mb=number(row, "ExpertMb", 0),
+        slots=int(number_field(document, "Slots")),
+        step_s=number_field(document, "step_ms") * MS,
+        sequence_s=number_field(document, "per_seq_ms") * MS,
+        context_1000_s=number_field(document, "context_per_k") * MS,
+        read_tokens_per_s=number_field(document, "read_per_s"),
+        steps_per_pass=int(number_field(document, "Stride", 1)),
+        usual_prompt=number_field(defaults, "prompt", 0),
+        usual_answer=number_field(defaults, "answer", 0),
+        sets=int(number_field(document, "Sets", 0)),
+        experts=int(number_field(document, "Experts", 0)),
+        places=int(number_field(document, "Places", 0)),
+        spare=int(number_field(document, "Spare", 0)),
+        expert_share=number_field(document, "ExpertShare", 0),
+        expert_mb=number_field(document, "ExpertMb", 0),
     )
 
 
 def _organisations(tenants):
     organisation_by_key = {}
-    for row in tenants:
-        priority = row.get("Priority")
+    for document in tenants:
+        priority = document.get("Priority")
         organisation = SiteOrganisation(
-            name=text(row, "Name"),
-            priority=None if priority is None else int(number(row, "Priority")),
+            name=string_field(document, "Name"),
+            priority=None
+            if priority is None
+            else int(number_field(document, "Priority")),
         )
-        for key in row.get("ApiKeys") or ():
+        for key in document.get("ApiKeys") or ():
             organisation_by_key[key] = organisation
     return organisation_by_key
 
 
-def _limits(row):
-    usual = SiteLimits()
+def _limits(document):
+    defaults = SiteLimits()
     return SiteLimits(
-        header_bytes=int(number(row, "MaxHeaderBytes", usual.header_bytes)),
-        body_bytes=int(number(row, "MaxBodyBytes", usual.body_bytes)),
-        header_timeout_s=number(row, "HeaderTimeoutMs", usual.header_timeout_s / MS)
+        header_bytes=int(
+            number_field(document, "MaxHeaderBytes", defaults.header_bytes)
+        ),
+        body_bytes=int(number_field(document, "MaxBodyBytes", defaults.body_bytes)),
+        header_timeout_s=number_field(
+            document, "HeaderTimeoutMs", defaults.header_timeout_s / MS
+        )
+        * MS,
+        idle_timeout_s=number_field(
+            document, "IdleTimeoutMs", defaults.idle_timeout_s / MS
+        )
         * MS,
-        idle_timeout_s=number(row, "IdleTimeoutMs", usual.idle_timeout_s / MS) * MS,
     )
--- a/packages/magnoliagrade/magnoliagrade/platform/endpoints.py
+++ b/packages/magnoliagrade/magnoliagrade/platform/endpoints.py
@@ -1,6 +1,11 @@
-"""Decoding of the entries that servers write of themselves."""
+"""Decoding of the registrations that model servers write to the store."""
 
-from magnoliagrade.platform.fields import FormatError, load, number, text
+from magnoliagrade.platform.fields import (
+    FormatError,
+    load_object,
+    number_field,
+    string_field,
+)
 from magnoliagrade.world.site import SiteEndpoint
 
 __all__ = ["decode_endpoint"]
@@ -9,7 +14,7 @@
 
 
 def decode_endpoint(endpoint_id, data):
-    """Return the endpoint that an entry names.
+    """Return the endpoint that a registration describes.
 
     Parameters
     ----------
@@ -21,22 +26,22 @@
     Raises
     ------
     FormatError
-        If the entry does not name an endpoint that can be used.
+        If a field is missing or malformed, or the state is unknown.
     """
-    document = load(data)
-    state = text(document, "State")
+    document = load_object(data)
+    state = string_field(document, "State")
     if state not in _IS_DRAINING_BY_STATE:
-        raise FormatError(f"State {state!r} is not known")
-    address = text(document, "Address")
+        raise FormatError(f"State: unknown state {state!r}")
+    address = string_field(document, "Address")
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise FormatError(f"Address {address!r} is no host and port")
+        raise FormatError(f"Address: expected HOST:PORT, got {address!r}")
     return SiteEndpoint(
         id=endpoint_id,
-        service=text(document, "Service"),
+        service=string_field(document, "Service"),
         address=address,
-        data_centre=text(document, "Zone"),
-        slots=max(1, int(number(document, "Slots"))),
+        data_centre=string_field(document, "Zone"),
+        slots=max(1, int(number_field(document, "Slots"))),
         is_draining=_IS_DRAINING_BY_STATE[state],
-        cold_s=number(document, "ColdRemainingMs", 0) / 1000,
+        cold_s=number_field(document, "ColdRemainingMs", 0) / 1000,
     )
--- a/packages/magnoliagrade/magnoliagrade/platform/fields.py
+++ b/packages/magnoliagrade/magnoliagrade/platform/fields.py
@@ -1,75 +1,89 @@
-"""Checked reading of fields of the platform's JSON documents."""
+"""Type-checked access to the fields of the platform's JSON documents."""
 
 import json
 
 from magnoliagrade.errors import ErrorKind, MagnoliagradeError
 
-__all__ = ["FormatError", "flag", "load", "number", "optional", "rows", "text"]
+__all__ = [
+    "FormatError",
+    "boolean_field",
+    "load_object",
+    "number_field",
+    "optional_object",
+    "object_list_field",
+    "string_field",
+]
 
 _MISSING = object()
 
 
 class FormatError(MagnoliagradeError):
-    """A document of the platform cannot be read; names the field."""
+    """A document of the platform is malformed; the detail names the field."""
 
     def __init__(self, detail):
         super().__init__(ErrorKind.INVALID_REQUEST, detail)
 
 
-def load(data):
-    """Return the JSON object that bytes hold.
+def load_object(data):
+    """Return the JSON object that is encoded in bytes.
 
     Raises
     ------
     FormatError
-        If the bytes hold no JSON object.
+        If the bytes are not valid JSON or encode another type.
     """
     try:
         document = json.loads(data)
     except (ValueError, UnicodeDecodeError, RecursionError) as exc:
-        raise FormatError(f"{len(data)} bytes are no JSON") from exc
+        raise FormatError(f"document of {len(data)} bytes is not valid JSON") from exc
     if not isinstance(document, dict):
-        raise FormatError(f"a {type(document).__name__} stands where an object should")
+        raise FormatError(f"expected a JSON object, got a {type(document).__name__}")
     return document
 
 
-def text(document, name, default=_MISSING):
-    """Return a field that holds a text."""
-    return _typed(document, name, str, default)
+def string_field(document, name, default=_MISSING):
+    """Return the value of a string field.
+
+    Without a default, this and the other functions here raise `FormatError` if the
+    field is missing; all of them raise it if its value has another type.
+    """
+    return _field_of_type(document, name, str, default)
 
 
-def flag(document, name, default=False):
-    """Return a field that holds true or false."""
-    return _typed(document, name, bool, default)
+def boolean_field(document, name, default=False):
+    """Return the value of a boolean field."""
+    return _field_of_type(document, name, bool, default)
 
 
-def number(document, name, default=_MISSING, *, low=0):
-    """Return a field that holds a finite number of at least `low`."""
-    value = _typed(document, name, (int, float), default)
-    if isinstance(value, bool) or not low <= value < float("inf"):
-        raise FormatError(f"{name} is {value!r}")
+def number_field(document, name, default=_MISSING, *, minimum=0):
+    """Return the value of a field that holds a finite number, `minimum` or more."""
+    value = _field_of_type(document, name, (int, float), default)
+    if isinstance(value, bool) or not minimum <= value < float("inf"):
+        raise FormatError(
+            f"{name}: expected a finite number of at least {minimum}, got {value!r}"
+        )
     return value
 
 
-def rows(document, name, default=_MISSING):
-    """Return a field that holds a list of objects."""
-    value = _typed(document, name, list, default)
-    if not all(isinstance(row, dict) for row in value):
-        raise FormatError(f"{name} holds a row that is no object")
+def object_list_field(document, name, default=_MISSING):
+    """Return the value of a field that holds a list of JSON objects."""
+    value = _field_of_type(document, name, list, default)
+    if not all(isinstance(element, dict) for element in value):
+        raise FormatError(f"{name}: list has an element that is not a JSON object")
     return value
 
 
-def optional(document, name):
-    """Return a field that holds an object, or None without it."""
+def optional_object(document, name):
+    """Return the JSON object in a field, or None if it is missing or null."""
     if document.get(name) is None:
         return None
-    return _typed(document, name, dict, _MISSING)
+    return _field_of_type(document, name, dict, _MISSING)
 
 
-def _typed(document, name, kind, default):
+def _field_of_type(document, name, types, default):
     value = document.get(name, default)
     if value is _MISSING:
-        raise FormatError(f"{name} is missing")
-    if not isinstance(value, kind):
-        raise FormatError(f"{name} holds a {type(value).__name__}")
+        raise FormatError(f"required field {name} is missing")
+    if not isinstance(value, types):
+        raise FormatError(f"{name}: unexpected value of type {type(value).__name__}")
     return value
--- a/packages/magnoliagrade/magnoliagrade/platform/headers.py
+++ b/packages/magnoliagrade/magnoliagrade/platform/headers.py
@@ -1,4 +1,4 @@
-"""Header names of the platform and what callers and endpoints say in them."""
+"""Headers of the platform: reading callers' and endpoints', making forwarded ones."""
 
 from multidict import CIMultiDict
 
@@ -28,8 +28,9 @@
 AT_SERVER = "At-Server"
 LAST_EVENT_ID = "Last-Event-Id"
 _BEARER = "bearer "
-# Headers that end here: of one connection, of the caller's identity, or set anew.
-_ENDING_HERE = frozenset(
+# Headers of a caller that are not forwarded: they belong to one connection, identify
+# the caller, or are set again for the endpoint.
+_NOT_FORWARDED = frozenset(
     HOP_BY_HOP - {"host"}
     | {"authorization"}
     | {
@@ -47,12 +48,12 @@
 
 
 def request_id_of(headers):
-    """Return the caller's id of a request, or an empty text."""
+    """Return the request id that the caller has chosen, or an empty string."""
     return headers.get(REQUEST_ID, "")
 
 
 def deadline_of(headers):
-    """Return how many seconds the caller waits, or None if it does not say."""
+    """Return the caller's time-out in seconds, or None without a valid header."""
     value = headers.get(DEADLINE_MS, "")
     try:
         milliseconds = float(value)
@@ -62,7 +63,7 @@
 
 
 def api_key_of(headers):
-    """Return the caller's key, or an empty text."""
+    """Return the caller's API key (bearer token), or an empty string."""
     value = headers.get("Authorization", "")
     if not value.lower().startswith(_BEARER):
         return ""
@@ -70,72 +71,72 @@
 
 
 def event_id_of(headers):
-    """Return the id of the last event that the caller has, or an empty text."""
+    """Return the id of the last event that the caller received, or an empty string."""
     return headers.get(LAST_EVENT_ID, "")
 
 
 def endpoint_headers(headers, *, endpoint_id, organisation, deadline_s, last_event_id):
-    """Return the headers of a request at an endpoint.
+    """Return the headers of a caller's request as it is forwarded to an endpoint.
 
     Parameters
     ----------
     headers : multidict
         The caller's headers.
     endpoint_id : str
-        Incarnation that has to answer.
+        Id of the incarnation that must serve the request; any other rejects it.
     organisation : str
         Organisation that the caller's key belongs to; empty without one.
     deadline_s : float
-        Seconds that are left.
+        Seconds until the deadline.
     last_event_id : str
-        Event after which a stream goes on; empty for its beginning.
+        Event after which a stream resumes; empty to start it at the beginning.
     """
-    named = _named_by_connection(headers)
-    kept = CIMultiDict(
+    connection_options = _connection_options(headers)
+    forwarded = CIMultiDict(
         (name, value)
         for name, value in headers.items()
-        if name.lower() not in _ENDING_HERE and name.lower() not in named
+        if name.lower() not in _NOT_FORWARDED and name.lower() not in connection_options
     )
-    kept[DEADLINE_MS] = str(max(1, int(deadline_s * 1000)))
-    kept[EXPECT_INSTANCE] = endpoint_id
+    forwarded[DEADLINE_MS] = str(max(1, int(deadline_s * 1000)))
+    forwarded[EXPECT_INSTANCE] = endpoint_id
     if organisation:
-        kept[TENANT] = organisation
+        forwarded[TENANT] = organisation
     if last_event_id:
-        kept[LAST_EVENT_ID] = last_event_id
-    return kept
+        forwarded[LAST_EVENT_ID] = last_event_id
+    return forwarded
 
 
 def response_headers(headers):
-    """Return the headers of an endpoint's response that the caller gets."""
-    named = _named_by_connection(headers)
+    """Return the headers of an endpoint's response that are forwarded to the caller."""
+    connection_options = _connection_options(headers)
     return CIMultiDict(
         (name, value)
         for name, value in headers.items()
-        if name.lower() not in HOP_BY_HOP and name.lower() not in named
+        if name.lower() not in HOP_BY_HOP and name.lower() not in connection_options
     )
 
 
 def response_identity(headers):
-    """Return the request id and the signature that a response bears."""
+    """Return the request id and the signature of an endpoint's response."""
     return headers.get(REQUEST_ID, ""), headers.get(STAMP, "")
 
 
 def has_not_run(status, headers):
-    """Return whether an endpoint says that it did not run the request."""
+    """Return whether a response states that the endpoint did not run the request."""
     return status == 421 or NOT_EXECUTED in headers
 
 
 def is_replaced(status, endpoint_id, headers):
-    """Return whether another incarnation than the expected one has refused."""
+    """Return whether another incarnation than the expected one rejected a request."""
     return status == 421 and not is_group_broken(endpoint_id, headers)
 
 
 def is_group_broken(endpoint_id, headers):
-    """Return whether a refusal blames another rank than the endpoint itself."""
+    """Return whether a rejection names a rank other than the endpoint as its cause."""
     return headers.get(AT_SERVER, endpoint_id) != endpoint_id
 
 
-def _named_by_connection(headers):
+def _connection_options(headers):
     return {
         name.strip().lower()
         for value in headers.getall("Connection", ())
--- a/packages/magnoliagrade/magnoliagrade/platform/items.py
+++ b/packages/magnoliagrade/magnoliagrade/platform/items.py
@@ -1,4 +1,4 @@
-"""Keys of the platform's store and what stands under each."""
+"""Keys of the platform's store and the types that their values decode to."""
 
 import json
 import logging
@@ -7,7 +7,13 @@
 from magnoliagrade.observability import log_event
 from magnoliagrade.platform.configuration import decode_configuration
 from magnoliagrade.platform.endpoints import decode_endpoint
-from magnoliagrade.platform.fields import FormatError, load, number, optional, text
+from magnoliagrade.platform.fields import (
+    FormatError,
+    load_object,
+    number_field,
+    optional_object,
+    string_field,
+)
 from magnoliagrade.world.site import SiteConfiguration, SiteEndpoint
 
 __all__ = [
@@ -33,21 +39,21 @@
 _ENDPOINT_PREFIX = "servers/"
 _INSTANCE_PREFIX = "magnoliagrade/instances/"
 _SLOW_RANKS_PREFIX = "magnoliagrade/slow-ranks/"
-# A notice of slow ranks holds for so long after it was seen, should its coordinator
-# stop; servers of the sites' days are slow for 4 to 9 s.
+# A notice of slow ranks expires this long after it was received, in case the
+# coordinator that renews it has stopped. Servers are slow for 4 to 9 s at a time.
 SLOW_RANKS_LIFE_S = 6.0
 
 
 @dataclass(slots=True, kw_only=True)
 class ConfigurationItem:
-    """The configuration, or None if it was deleted."""
+    """The operators' configuration, or None if its key was deleted."""
 
     configuration: SiteConfiguration | None
 
 
 @dataclass(slots=True, kw_only=True)
 class EndpointItem:
-    """An endpoint by id, or None if its entry is gone."""
+    """The registration of an endpoint; `endpoint` is None if it was deleted."""
 
     id: str
     endpoint: SiteEndpoint | None
@@ -55,7 +61,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class EvacuationItem:
-    """Whether a data centre's endpoints are to get nothing."""
+    """Whether a data centre is evacuated: its endpoints get no requests."""
 
     data_centre: str
     is_evacuated: bool
@@ -63,7 +69,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class InstanceItem:
-    """An own process by name; its link address, or empty if it is gone."""
+    """A process of this system and its link address; empty if it is gone."""
 
     name: str
     address: str
@@ -71,14 +77,14 @@
 
 @dataclass(slots=True, kw_only=True)
 class SlowRanksItem:
-    """Pace of the slow ranks of a group, by their servers' addresses."""
+    """Pace of the slow ranks of a group by server address; 2.0 is twice as slow."""
 
     group: str
     pace_by_address: dict
 
 
 def decode_item(key, value):
-    """Return what a key of the store says.
+    """Return the decoded value of a key of the store.
 
     Parameters
     ----------
@@ -90,12 +96,13 @@
     Returns
     -------
     item : object or None
-        One of the item classes of this module; None for keys of others.
+        One of the item classes of this module; None for a key that belongs to
+        another system.
 
     Raises
     ------
     FormatError
-        If the value cannot be read.
+        If the value is malformed.
     """
     if key == _CONFIGURATION_KEY:
         decoded = None if value is None else decode_configuration(value)
@@ -109,25 +116,27 @@
         return EndpointItem(id=endpoint_id, endpoint=endpoint)
     if key.startswith(_INSTANCE_PREFIX):
         name = key.removeprefix(_INSTANCE_PREFIX)
-        address = "" if value is None else text(load(value), "link_address")
+        address = (
+            "" if value is None else string_field(load_object(value), "link_address")
+        )
         return InstanceItem(name=name, address=address)
     if key.startswith(_SLOW_RANKS_PREFIX):
         return SlowRanksItem(
             group=key.removeprefix(_SLOW_RANKS_PREFIX),
-            pace_by_address={} if value is None else _paces(load(value)),
+            pace_by_address={} if value is None else _paces(load_object(value)),
         )
     return None
 
 
 async def list_endpoints(store, *, purpose):
-    """Return the endpoints that the store lists; unreadable entries are left out.
+    """Return the endpoints that the store lists, without malformed registrations.
 
     Parameters
     ----------
     store : PlatformStore
         The store.
     purpose : str
-        What the call is counted under.
+        Label under which the call is counted.
     """
     values, _ = await store.list(_ENDPOINT_PREFIX, purpose=purpose)
     endpoints = []
@@ -140,39 +149,39 @@
 
 
 async def fetch_configuration(store, *, purpose):
-    """Return the configuration that the store holds now, or None.
+    """Return the operators' configuration in the store, or None if there is none.
 
     Parameters
     ----------
     store : PlatformStore
         The store.
     purpose : str
-        What the call is counted under.
+        Label under which the call is counted.
     """
     value = await store.get(_CONFIGURATION_KEY, purpose=purpose)
     return None if value is None else decode_configuration(value.value)
 
 
 def instance_key(name):
-    """Return the key under which an own process stands."""
+    """Return the key under which a process of this system registers."""
     return _INSTANCE_PREFIX + name
 
 
 def slow_ranks_key(group):
-    """Return the key under which the slow ranks of a group stand."""
+    """Return the key that lists the slow ranks of a group."""
     return _SLOW_RANKS_PREFIX + group
 
 
 def encode_slow_ranks(pace_by_address):
-    """Return the value that names slow ranks."""
+    """Return the encoded value that lists slow ranks and their pace."""
     return json.dumps({"pace_by_address": pace_by_address}).encode()
 
 
 def _paces(document):
-    paces = optional(document, "pace_by_address") or {}
-    return {address: number(paces, address, low=0.1) for address in paces}
+    paces = optional_object(document, "pace_by_address") or {}
+    return {address: number_field(paces, address, minimum=0.1) for address in paces}
 
 
 def encode_instance(link_address):
-    """Return the value that an own process writes of itself."""
+    """Return the encoded value that a process registers for itself."""
     return json.dumps({"link_address": link_address}).encode()
--- a/packages/magnoliagrade/magnoliagrade/platform/ranks.py
+++ b/packages/magnoliagrade/magnoliagrade/platform/ranks.py
@@ -1,4 +1,4 @@
-"""Calls to a model server that is a rank of an expert-parallel group."""
+"""Client of a model server that is a rank of an expert-parallel group."""
 
 import asyncio
 import enum
@@ -9,10 +9,10 @@
 from magnoliagrade.errors import ErrorKind, MagnoliagradeError
 from magnoliagrade.platform.fields import (
     FormatError,
-    load,
-    number,
-    optional,
-    text,
+    load_object,
+    number_field,
+    optional_object,
+    string_field,
 )
 from magnoliagrade.world.site import RankStatus
 
@@ -28,17 +28,20 @@
 
 
 class OrderOutcome(enum.Enum):
-    """How a server took an order."""
+    """Outcome of an order that was sent to a model server.
+
+    `BEGUN` means accepted but not yet carried out.
+    """
 
     DONE = "done"
     BEGUN = "begun"
     REFUSED = "refused"
-    # No answer: the order may have been carried out, or may be, seconds later.
+    # No response: the server may have carried out the order or may do so seconds later.
     UNKNOWN = "unknown"
 
 
 class RankServer:
-    """Client of one model server's calls about its group.
+    """Client of the group calls of one model server.
 
     Parameters
     ----------
@@ -47,9 +50,9 @@
     session : aiohttp.ClientSession
         Session whose connections are used.
     timeout_s : float
-        Longest wait for an answer to a question, in seconds.
+        Time-out of a call that reads, in seconds.
     order_timeout_s : float, optional
-        Longest wait for an answer to an order; that to a question by default.
+        Time-out of an order in seconds; `timeout_s` by default.
     """
 
     __slots__ = ("_order_timeout_s", "_session", "_timeout_s", "_url")
@@ -61,46 +64,47 @@
         self._timeout_s = timeout_s
 
     async def status(self):
-        """Return the rank's `RankStatus`.
+        """Fetch the rank's `RankStatus`.
 
         Raises
         ------
         MagnoliagradeError
-            If the server does not answer or its answer cannot be read.
+            If the server does not respond or its response is malformed.
         """
         return decode_status(await self._get("/report"))
 
     async def counts(self):
-        """Return the epoch and how often each expert was chosen, set after set."""
-        document = load(await self._get("/picked"))
+        """Return the epoch and how often each expert was chosen, as a list by set."""
+        document = load_object(await self._get("/picked"))
         counts = document.get("Counts")
         if not isinstance(counts, list):
-            raise FormatError("Counts is no list")
-        return int(number(document, "epoch")), counts
+            raise FormatError(f"Counts: expected a list, got a {type(counts).__name__}")
+        return int(number_field(document, "epoch")), counts
 
     async def experts(self):
-        """Return the epoch, map version and experts of this rank by set."""
-        document = load(await self._get("/picked?Lists=1"))
-        in_use = optional(document, "Map") or {}
+        """Return the epoch, the expert map's version and this rank's experts by set."""
+        document = load_object(await self._get("/picked?Lists=1"))
+        expert_map = optional_object(document, "Map") or {}
         return (
-            int(number(document, "epoch")),
-            int(number(in_use, "Version")),
-            in_use.get("Experts"),
+            int(number_field(document, "epoch")),
+            int(number_field(expert_map, "Version")),
+            expert_map.get("Experts"),
         )
 
     async def order(self, operation, *, epoch, version=None, step=None, experts=None):
-        """Give an order and return its `OrderOutcome`.
+        """Send an order and return its `OrderOutcome`; never raises for a failed call.
 
         Parameters
         ----------
         operation : str
             `prepare`, `arm`, `disarm`, `hold` or `release`.
         epoch : int
-            Epoch in which it holds; the server refuses it in any other.
+            Epoch of the group that the order applies to; the server rejects it in any
+            other.
         version : int, optional
             Version of the expert map.
         step : int, optional
-            Pass.
+            Number of the forward pass that the order applies to.
         experts : list of list of list of int, optional
             Experts by set and rank.
         """
@@ -126,7 +130,7 @@
     async def _get(self, path):
         status, data = await self._call("GET", path, None, self._timeout_s)
         if status != 200:
-            detail = f"{path} of {self._url}: {status}"
+            detail = f"GET {path} of {self._url}: status {status}"
             raise MagnoliagradeError(ErrorKind.UPSTREAM_FAILED, detail)
         return data
 
@@ -145,39 +149,39 @@
         except (aiohttp.ClientError, OSError, TimeoutError) as exc:
             raise MagnoliagradeError(
                 ErrorKind.UPSTREAM_FAILED,
-                f"{method} {path} of {self._url}: {type(exc).__name__}",
+                f"{method} {path} of {self._url} failed: {type(exc).__name__}",
             ) from exc
 
 
 def decode_status(data):
-    """Return the `RankStatus` that a server's report holds.
+    """Return the `RankStatus` that a server's report encodes.
 
     Raises
     ------
     FormatError
-        If the report cannot be read.
+        If the report is malformed.
     """
-    document = load(data)
-    group = optional(document, "group") or {}
-    armed = optional(document, "Armed") or {}
+    document = load_object(data)
+    group = optional_object(document, "group") or {}
+    armed = optional_object(document, "Armed") or {}
     return RankStatus(
-        group=text(group, "Name", ""),
-        epoch=int(number(group, "epoch", 0)),
-        rank=int(number(group, "rank", 0)),
-        size=int(number(document, "size", 0)),
-        is_open=text(group, "State", "") == "open",
-        born_ms=int(number(document, "born", 0)),
-        step=int(number(document, "step", 0)),
-        map_version=int(number(document, "Map", 0)),
-        prepared_version=_whole(document, "Prepared"),
-        armed_version=_whole(armed, "Version"),
-        armed_step=_whole(armed, "step"),
-        held_step=_whole(document, "held"),
-        running=int(number(document, "Running", 0)),
-        waiting=int(number(document, "Waiting", 0)),
-        pace=max(0.1, number(document, "pace", 1.0)),
+        group=string_field(group, "Name", ""),
+        epoch=int(number_field(group, "epoch", 0)),
+        rank=int(number_field(group, "rank", 0)),
+        size=int(number_field(document, "size", 0)),
+        is_open=string_field(group, "State", "") == "open",
+        born_ms=int(number_field(document, "born", 0)),
+        step=int(number_field(document, "step", 0)),
+        map_version=int(number_field(document, "Map", 0)),
+        prepared_version=_optional_integer(document, "Prepared"),
+        armed_version=_optional_integer(armed, "Version"),
+        armed_step=_optional_integer(armed, "step"),
+        held_step=_optional_integer(document, "held"),
+        running=int(number_field(document, "Running", 0)),
+        waiting=int(number_field(document, "Waiting", 0)),
+        pace=max(0.1, number_field(document, "pace", 1.0)),
     )
 
 
-def _whole(document, name):
-    return None if document.get(name) is None else int(number(document, name))
+def _optional_integer(document, name):
+    return None if document.get(name) is None else int(number_field(document, name))
--- a/packages/magnoliagrade/magnoliagrade/platform/store.py
+++ b/packages/magnoliagrade/magnoliagrade/platform/store.py
@@ -18,14 +18,14 @@
 
 __all__ = ["HistoryLost", "PlatformStore", "StoreEvent"]
 
-# The store answers in 4 ms and, on slow days, in some hundred.
+# The store responds in 4 ms, and in the order of 100 ms when it is slow.
 CALL_TIMEOUT_S = 1.0
-# Beyond the wait of a watch, after which its connection counts as silent.
-WATCH_SLACK_S = 0.7
+# Added to the wait of a watch; without a response by then, the watch times out.
+WATCH_TIMEOUT_MARGIN_S = 0.7
 
 
 class HistoryLost(MagnoliagradeError):
-    """The store no longer has the changes after a revision."""
+    """The store has discarded changes that a watch asked for."""
 
     def __init__(self, detail):
         super().__init__(ErrorKind.STORE_UNAVAILABLE, detail)
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class StoreEvent:
-    """One change: the key, its value or None if it was deleted, the revision."""
+    """A change of a key; `value` is None if the key was deleted."""
 
     key: str
     value: bytes | None
@@ -41,7 +41,7 @@
 
 
 class PlatformStore:
-    """Store of the platform, with linearizable reads.
+    """Client of the platform's key-value store, with linearizable reads.
 
     Parameters
     ----------
@@ -58,24 +58,28 @@
         self._session = session
 
     async def get(self, key, *, purpose):
-        """Return the value of a key, or None."""
-        answer = await self._call("GET", "/kv-key", params={"Key": key}, why=purpose)
-        return None if answer.status == 404 else _value(answer.body)
+        """Return the `StoreValue` of a key, or None if it does not exist."""
+        response = await self._call(
+            "GET", "/kv-key", params={"Key": key}, purpose=purpose
+        )
+        return None if response.status == 404 else _value(response.body)
 
     async def list(self, prefix, *, purpose):
-        """Return the values under a prefix and the revision to watch from.
+        """Return the values under a prefix and the revision to start a watch from.
 
         Notes
         -----
-        Pages are no snapshot: the revision is that of the first one, so that a watch
-        from it repeats what changed while the others were read.
+        The pages of a listing are not one snapshot. The revision is that of the first
+        page, so a watch from it repeats the changes made while later pages were read.
         """
         values = []
         revision = None
         params = {"Prefix": prefix}
         while True:
-            answer = await self._call("GET", "/kv-range", params=params, why=purpose)
-            page = answer.body
+            response = await self._call(
+                "GET", "/kv-range", params=params, purpose=purpose
+            )
+            page = response.body
             values += [_value(item) for item in page["Items"]]
             revision = page["AsOf"] if revision is None else revision
             if not page.get("MorePages") or not page["Items"]:
@@ -83,49 +87,50 @@
             params = {"Prefix": prefix, "After": page["Items"][-1]["Key"]}
 
     async def watch(self, prefix, *, after_revision, wait_s, purpose):
-        """Return the changes under a prefix and the revision to go on from.
+        """Return the changes under a prefix and the revision to continue from.
 
         Raises
         ------
         HistoryLost
-            If the store has dropped changes after the revision.
+            If the store has discarded changes that followed `after_revision`.
         """
         params = {
             "Prefix": prefix,
             "After": str(after_revision),
             "WaitMs": str(int(wait_s * 1000)),
         }
-        answer = await self._call(
+        response = await self._call(
             "GET",
             "/kv-watch",
             params=params,
-            timeout_s=wait_s + WATCH_SLACK_S,
-            why=purpose,
+            timeout_s=wait_s + WATCH_TIMEOUT_MARGIN_S,
+            purpose=purpose,
         )
-        events = [_event(item) for item in answer.body["events"]]
-        return events, answer.body["AsOf"]
+        events = [_event(item) for item in response.body["events"]]
+        return events, response.body["AsOf"]
 
     async def put(self, key, value, *, expected_revision, lease=0, purpose):
         """Write a value and return its revision.
 
-        `expected_revision` 0 means that the key must not exist, None that any will
-        do. Raises `StoreConflict` or `StoreUnavailable`.
+        `expected_revision` 0 requires that the key does not exist; None disables the
+        check. Raises `StoreConflict` if the check fails or the lease has ended, and
+        `StoreUnavailable`.
         """
-        row = {"Key": key, "Value": base64.b64encode(value).decode()}
+        write = {"Key": key, "Value": base64.b64encode(value).decode()}
         if lease:
-            row["Lease"] = lease
+            write["Lease"] = lease
         conditions = []
         if expected_revision is not None:
             conditions.append({"Key": key, "Revision": expected_revision})
-        answer = await self._call(
+        response = await self._call(
             "POST",
             "/kv-txn",
-            document={"Precondition": conditions, "Writes": [row], "Deletes": []},
-            why=purpose,
+            document={"Precondition": conditions, "Writes": [write], "Deletes": []},
+            purpose=purpose,
         )
-        if answer.status == 404:
-            raise StoreConflict(f"lease {lease} of key {key} has ended")
-        return answer.body["Revision"]
+        if response.status == 404:
+            raise StoreConflict(f"{key} was not written: its lease {lease} has ended")
+        return response.body["Revision"]
 
     async def delete(self, key, *, purpose):
         """Delete a key, whether it exists or not."""
@@ -133,49 +138,49 @@
             "POST",
             "/kv-txn",
             document={"Precondition": [], "Writes": [], "Deletes": [key]},
-            why=purpose,
+            purpose=purpose,
         )
 
     async def grant_lease(self, ttl_s, *, purpose):
-        """Return the id of a new lease."""
-        answer = await self._call(
-            "POST", "/kv-lease", document={"TtlMs": int(ttl_s * 1000)}, why=purpose
+        """Create a lease that ends after `ttl_s` seconds, and return its id."""
+        response = await self._call(
+            "POST", "/kv-lease", document={"TtlMs": int(ttl_s * 1000)}, purpose=purpose
         )
-        return answer.body["Lease"]
+        return response.body["Lease"]
 
     async def renew_lease(self, lease, *, purpose):
         """Renew a lease; raises `StoreConflict` if it has ended."""
-        answer = await self._call("POST", f"/kv-keep/{lease}", why=purpose)
-        if answer.status == 404:
-            raise StoreConflict(f"lease {lease} has ended")
+        response = await self._call("POST", f"/kv-keep/{lease}", purpose=purpose)
+        if response.status == 404:
+            raise StoreConflict(f"lease {lease} was not renewed: it has ended")
 
     async def revoke_lease(self, lease, *, purpose):
-        """End a lease; its keys are deleted."""
-        await self._call("DELETE", f"/kv-lease-end/{lease}", why=purpose)
+        """End a lease; the store deletes the keys written under it."""
+        await self._call("DELETE", f"/kv-lease-end/{lease}", purpose=purpose)
 
     async def _call(
         self,
         method,
         path,
         *,
-        why,
+        purpose,
         params=None,
         document=None,
         timeout_s=CALL_TIMEOUT_S,
     ):
         verb = path.split("/")[1]
         try:
-            answer = await self._exchange(method, path, params, document, timeout_s)
+            response = await self._exchange(method, path, params, document, timeout_s)
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError) as exc:
-            STORE_CALLS.labels(why, verb, "unavailable").inc()
-            never_sent = isinstance(exc, aiohttp.ClientConnectorError)
+            STORE_CALLS.labels(purpose, verb, "unavailable").inc()
+            was_never_sent = isinstance(exc, aiohttp.ClientConnectorError)
             raise StoreUnavailable(
-                f"{method} {path}: {type(exc).__name__}",
-                maybe_applied=method != "GET" and not never_sent,
+                f"{method} {path} failed: {type(exc).__name__}",
+                maybe_applied=method != "GET" and not was_never_sent,
             ) from exc
-        STORE_CALLS.labels(why, verb, str(answer.status)).inc()
-        answer.raise_for_status(f"{method} {path}")
-        return answer
+        STORE_CALLS.labels(purpose, verb, str(response.status)).inc()
+        response.raise_for_status(f"{method} {path}")
+        return response
 
     async def _exchange(self, method, path, params, document, timeout_s):
         async with (
@@ -191,25 +196,27 @@
             data = await response.read()
             is_json = response.status in (200, 412) and data
             body = json.loads(data) if is_json else {}
-            return _Answer(status=response.status, body=body)
+            return _StoreResponse(status=response.status, body=body)
 
 
 @dataclass(slots=True, kw_only=True)
-class _Answer:
+class _StoreResponse:
     status: int
     body: dict
 
-    def raise_for_status(self, what):
+    def raise_for_status(self, call):
         if self.status == 412:
-            raise StoreConflict(f"{what}: a condition does not hold")
+            raise StoreConflict(f"{call}: a key is not at the expected revision")
         if self.status == 410:
-            raise HistoryLost(f"{what}: the history is no longer there")
+            raise HistoryLost(f"{call}: the changes after the revision were discarded")
         if self.status == 429:
-            raise MagnoliagradeError(ErrorKind.STORE_LIMITED, f"{what}: rate limit")
+            raise MagnoliagradeError(
+                ErrorKind.STORE_LIMITED, f"{call}: rejected by the store's rate limit"
+            )
         if self.status >= 500:
-            raise StoreUnavailable(f"{what}: {self.status}")
+            raise StoreUnavailable(f"{call}: status {self.status}")
         if self.status not in (200, 204, 404):
-            detail = f"{what}: {self.status}"
+            detail = f"{call}: status {self.status}"
             raise MagnoliagradeError(ErrorKind.INVALID_REQUEST, detail)
 
 
