--- a/packages/magnoliagrade/magnoliagrade/node/node.py
+++ b/packages/magnoliagrade/magnoliagrade/node/node.py
@@ -105,7 +105,7 @@
         self.store = HttpStore(
             url=settings.store_url,
             session=self.session,
-            limiter=CallLimiter(clock=self.clock, rate=self.store_calls_per_s),
+            limiter=CallLimiter(clock=self.clock, calls_per_s=self.store_calls_per_s),
         )
 
     def make_session(self, *, keeps_connections=True):
--- a/packages/magnoliagrade/magnoliagrade/platform/configuration.py
+++ b/packages/magnoliagrade/magnoliagrade/platform/configuration.py
@@ -27,7 +27,7 @@
     "unsafe": RouteKind.UNSAFE,
     "streaming": RouteKind.STREAM,
 }
-MS = 1e-3
+SECONDS_PER_MS = 1e-3
 
 
 def decode_configuration(data):
@@ -83,9 +83,9 @@
         prefix=string_field(document, "Prefix"),
         kind=_KIND_BY_NAME[kind],
         shares=shares,
-        timeout_s=number_field(document, "TimeoutMs") * MS,
-        objective_s=number_field(document, "TargetLatencyMs", 0) * MS,
-        gap_objective_s=number_field(document, "GapAimMs", 0) * MS,
+        timeout_s=number_field(document, "TimeoutMs") * SECONDS_PER_MS,
+        objective_s=number_field(document, "TargetLatencyMs", 0) * SECONDS_PER_MS,
+        gap_objective_s=number_field(document, "GapAimMs", 0) * SECONDS_PER_MS,
         priority=int(number_field(document, "Priority", 5)),
         max_endpoints=max(1, int(number_field(document, "MaxAttempts", 1))),
         is_public=boolean_field(document, "Public"),
@@ -104,16 +104,16 @@
 
 
 def _engine(document):
-    defaults = optional_object(document, "usual") or {}
+    mean_tokens = optional_object(document, "usual") or {}
     return EngineProfile(
         slots=int(number_field(document, "Slots")),
-        step_s=number_field(document, "step_ms") * MS,
-        sequence_s=number_field(document, "per_seq_ms") * MS,
-        context_1000_s=number_field(document, "context_per_k") * MS,
+        step_s=number_field(document, "step_ms") * SECONDS_PER_MS,
+        sequence_s=number_field(document, "per_seq_ms") * SECONDS_PER_MS,
+        context_1000_s=number_field(document, "context_per_k") * SECONDS_PER_MS,
         read_tokens_per_s=number_field(document, "read_per_s"),
         steps_per_pass=int(number_field(document, "Stride", 1)),
-        usual_prompt=number_field(defaults, "prompt", 0),
-        usual_answer=number_field(defaults, "answer", 0),
+        usual_prompt=number_field(mean_tokens, "prompt", 0),
+        usual_answer=number_field(mean_tokens, "answer", 0),
         sets=int(number_field(document, "Sets", 0)),
         experts=int(number_field(document, "Experts", 0)),
         places=int(number_field(document, "Places", 0)),
@@ -146,11 +146,11 @@
         ),
         body_bytes=int(number_field(document, "MaxBodyBytes", defaults.body_bytes)),
         header_timeout_s=number_field(
-            document, "HeaderTimeoutMs", defaults.header_timeout_s / MS
+            document, "HeaderTimeoutMs", defaults.header_timeout_s / SECONDS_PER_MS
         )
-        * MS,
+        * SECONDS_PER_MS,
         idle_timeout_s=number_field(
-            document, "IdleTimeoutMs", defaults.idle_timeout_s / MS
+            document, "IdleTimeoutMs", defaults.idle_timeout_s / SECONDS_PER_MS
         )
-        * MS,
+        * SECONDS_PER_MS,
     )
--- a/packages/magnoliagrade/magnoliagrade/store/__init__.py
+++ b/packages/magnoliagrade/magnoliagrade/store/__init__.py
@@ -1,4 +1,4 @@
-"""The store and the list of instances: what the system needs, and our own client."""
+"""Interfaces of the key-value store and the instance list, and their HTTP clients."""
 
 from magnoliagrade.store.client import (
     HttpStore,
--- a/packages/magnoliagrade/magnoliagrade/store/client.py
+++ b/packages/magnoliagrade/magnoliagrade/store/client.py
@@ -1,4 +1,4 @@
-"""The platform's key-value service: compare-and-swap, leases and watches."""
+"""Interface and HTTP client of the store: compare-and-swap, leases and watches."""
 
 import asyncio
 from dataclasses import dataclass
@@ -14,7 +14,8 @@
 __all__ = ["HttpStore", "Store", "StoreConflict", "StoreUnavailable", "StoreValue"]
 
 CALL_TIMEOUT_S = 2.0
-UNLIMITED_PURPOSE = "configuration"
+# Configuration changes by operators are rare and bypass the call limiter.
+PURPOSE_WITHOUT_LIMIT = "configuration"
 
 STORE_CALLS = Counter(
     "magnoliagrade_store_calls_total",
@@ -32,9 +33,9 @@
     key : str
         Key.
     value : bytes
-        Value, up to a megabyte.
+        Value, at most a megabyte.
     revision : int
-        Store-wide number that each write increases.
+        Store-wide revision number; each write increases it.
     """
 
     key: str
@@ -43,19 +44,19 @@
 
 
 class StoreConflict(MagnoliagradeError):
-    """A compare-and-swap found another revision than expected."""
+    """A key is at another revision than expected, or a lease has ended."""
 
     def __init__(self, detail):
         super().__init__(ErrorKind.CONFLICT, detail)
 
 
 class StoreUnavailable(MagnoliagradeError):
-    """The store did not answer; a write may have taken effect all the same.
+    """The store did not respond, or failed; a write may still have taken effect.
 
     Parameters
     ----------
     detail : str
-        What was tried.
+        The call and how it failed.
     maybe_applied : bool
         Whether a write may have taken effect.
     """
@@ -66,35 +67,38 @@
 
 
 class Store(Protocol):
-    """What the system needs of the platform's store.
+    """Operations that the system requires of the platform's store.
 
-    Every call names the purpose it is counted under.
+    Every call names its purpose, a label of the call counter.
     """
 
     async def get(self, key, *, purpose):
-        """Return the `StoreValue` of a key, or None."""
+        """Return the `StoreValue` of a key, or None if it does not exist."""
 
     async def put(self, key, value, *, expected_revision, lease="", purpose):
         """Write a value and return its revision.
 
-        `expected_revision` 0 means that the key must not exist, None that any
-        will do. Raises `StoreConflict` or `StoreUnavailable`.
+        `expected_revision` 0 requires that the key does not exist; None disables the
+        check. Raises `StoreConflict` if the check fails, and `StoreUnavailable`.
         """
 
     async def delete(self, key, *, expected_revision=None, purpose):
-        """Delete a key; raises `StoreConflict` or `StoreUnavailable`."""
+        """Delete a key; raises `StoreConflict` or `StoreUnavailable`, as `put` does."""
 
     async def list(self, prefix, *, purpose):
-        """Return the values of all keys that start with a prefix."""
+        """Return the `StoreValue` of every key that starts with a prefix."""
 
     async def watch(self, key, *, after_revision, wait_s, purpose):
-        """Return the value once its revision exceeds one, or None in time."""
+        """Return a key's value once it is newer than `after_revision`.
+
+        Returns None if that has not happened after `wait_s` seconds.
+        """
 
     async def grant_lease(self, ttl_s, *, purpose):
-        """Return the id of a new lease."""
+        """Create a lease that ends after `ttl_s` seconds, and return its id."""
 
     async def renew_lease(self, lease, *, purpose):
-        """Renew a lease; raises `StoreConflict` if it has lapsed."""
+        """Renew a lease; raises `StoreConflict` if it has ended."""
 
     async def revoke_lease(self, lease, *, purpose):
         """End a lease and delete the keys that were written under it."""
@@ -110,8 +114,8 @@
     session : aiohttp.ClientSession
         Session whose connections are used.
     limiter : CallLimiter, optional
-        Limit on this process's calls; none by default. Operators' changes of the
-        configuration are rare and go past it.
+        Limits the rate of this process's calls; None disables the limit. Calls for
+        operators' configuration changes, which are rare, bypass it.
 
     Notes
     -----
@@ -126,37 +130,37 @@
         self._session = session
 
     async def get(self, key, *, purpose):
-        """Return the value of a key, or None."""
-        answer = await self._call("GET", _key_path(key), purpose=purpose)
-        return answer.value(key)
+        """Return the `StoreValue` of a key, or None if it does not exist."""
+        response = await self._call("GET", _key_path(key), purpose=purpose)
+        return response.value(key)
 
     async def put(self, key, value, *, expected_revision, lease="", purpose):
-        """Write a value under compare-and-swap and return its revision."""
+        """Write a value by compare-and-swap and return its revision."""
         params = {"lease": lease} if lease else {}
         if expected_revision is not None:
             params["expected_revision"] = str(expected_revision)
-        answer = await self._call(
+        response = await self._call(
             "PUT", _key_path(key), params=params, data=value, purpose=purpose
         )
-        return answer.revision
+        return response.revision
 
     async def delete(self, key, *, expected_revision=None, purpose):
-        """Delete a key."""
+        """Delete a key, by compare-and-swap if `expected_revision` is given."""
         params = {}
         if expected_revision is not None:
             params["expected_revision"] = str(expected_revision)
         await self._call("DELETE", _key_path(key), params=params, purpose=purpose)
 
     async def list(self, prefix, *, purpose):
-        """Return the values of all keys that start with a prefix."""
-        answer = await self._call(
+        """Return the `StoreValue` of every key that starts with a prefix."""
+        response = await self._call(
             "GET", "/v1/keys", params={"prefix": prefix}, purpose=purpose
         )
-        return answer.values()
+        return response.values()
 
     async def watch(self, key, *, after_revision, wait_s, purpose):
-        """Return the value once it is newer, or None when the wait ends."""
-        answer = await self._call(
+        """Return a key's value once it is newer, or None after `wait_s` seconds."""
+        response = await self._call(
             "GET",
             _key_path(key),
             params={"after_revision": str(after_revision), "wait_s": str(wait_s)},
@@ -164,21 +168,21 @@
             purpose=purpose,
             verb="watch",
         )
-        return answer.value(key)
+        return response.value(key)
 
     async def grant_lease(self, ttl_s, *, purpose):
-        """Return the id of a new lease."""
-        answer = await self._call(
+        """Create a lease that ends after `ttl_s` seconds, and return its id."""
+        response = await self._call(
             "POST", "/v1/leases", params={"ttl_s": str(ttl_s)}, purpose=purpose
         )
-        return answer.body.decode()
+        return response.body.decode()
 
     async def renew_lease(self, lease, *, purpose):
-        """Renew a lease."""
+        """Renew a lease; raises `StoreConflict` if it has ended."""
         await self._call("PUT", f"/v1/leases/{lease}", purpose=purpose)
 
     async def revoke_lease(self, lease, *, purpose):
-        """End a lease."""
+        """End a lease and delete the keys that were written under it."""
         await self._call("DELETE", f"/v1/leases/{lease}", purpose=purpose)
 
     async def _call(
@@ -193,24 +197,24 @@
         verb="",
     ):
         verb = verb or method.lower()
-        if self._limiter is not None and purpose != UNLIMITED_PURPOSE:
-            await self._take_turn(purpose, verb)
+        if self._limiter is not None and purpose != PURPOSE_WITHOUT_LIMIT:
+            await self._acquire_permit(purpose, verb)
         try:
-            answer = await self._exchange(method, path, params, data, timeout_s)
+            response = await self._exchange(method, path, params, data, timeout_s)
         except (aiohttp.ClientError, OSError, TimeoutError) as exc:
             STORE_CALLS.labels(purpose, verb, "unavailable").inc()
             detail = f"{method} {path} failed: {type(exc).__name__}"
-            never_sent = isinstance(exc, aiohttp.ClientConnectorError)
+            was_never_sent = isinstance(exc, aiohttp.ClientConnectorError)
             raise StoreUnavailable(
-                detail, maybe_applied=method != "GET" and not never_sent
+                detail, maybe_applied=method != "GET" and not was_never_sent
             ) from exc
-        STORE_CALLS.labels(purpose, verb, str(answer.status)).inc()
-        answer.raise_for_status(method, path)
-        return answer
+        STORE_CALLS.labels(purpose, verb, str(response.status)).inc()
+        response.raise_for_status(method, path)
+        return response
 
-    async def _take_turn(self, purpose, verb):
+    async def _acquire_permit(self, purpose, verb):
         try:
-            await self._limiter.take()
+            await self._limiter.acquire()
         except MagnoliagradeError:
             STORE_CALLS.labels(purpose, verb, "limited_here").inc()
             raise
@@ -228,27 +232,27 @@
         ):
             body = await response.read()
             revision = int(response.headers.get("Store-Revision", "0"))
-            return _Answer(response.status, revision, body)
+            return _StoreResponse(response.status, revision, body)
 
 
 @dataclass(slots=True)
-class _Answer:
+class _StoreResponse:
     status: int
     revision: int
     body: bytes
 
     def raise_for_status(self, method, path):
         if self.status == 409:
-            raise StoreConflict(f"{method} {path}: revision is {self.revision}")
+            raise StoreConflict(f"{method} {path}: key is at revision {self.revision}")
         if self.status == 429:
-            detail = f"{method} {path}: rate limit"
+            detail = f"{method} {path}: rejected by the store's rate limit"
             raise MagnoliagradeError(ErrorKind.STORE_LIMITED, detail)
         if self.status >= 500:
             raise StoreUnavailable(
-                f"{method} {path}: {self.status}", maybe_applied=method != "GET"
+                f"{method} {path}: status {self.status}", maybe_applied=method != "GET"
             )
         if self.status >= 400 and self.status != 404:
-            detail = f"{method} {path}: {self.status}"
+            detail = f"{method} {path}: status {self.status}"
             raise MagnoliagradeError(ErrorKind.INVALID_REQUEST, detail)
 
     def value(self, key):
@@ -257,14 +261,14 @@
         return StoreValue(key=key, value=self.body, revision=self.revision)
 
     def values(self):
-        rows = []
-        rest = self.body
-        while rest:
-            header, _, rest = rest.partition(b"\n")
+        values = []
+        remaining = self.body
+        while remaining:
+            header, _, remaining = remaining.partition(b"\n")
             key, revision, size = header.decode().rsplit(" ", 2)
-            value, rest = rest[: int(size)], rest[int(size) :]
-            rows.append(StoreValue(key=key, value=value, revision=int(revision)))
-        return rows
+            value, remaining = remaining[: int(size)], remaining[int(size) :]
+            values.append(StoreValue(key=key, value=value, revision=int(revision)))
+        return values
 
 
 def _key_path(key):
--- a/packages/magnoliagrade/magnoliagrade/store/instances.py
+++ b/packages/magnoliagrade/magnoliagrade/store/instances.py
@@ -1,4 +1,4 @@
-"""The platform's lagging list of live and leaving instances."""
+"""Client of the platform's list of instances, which lags behind their state."""
 
 import asyncio
 from typing import Protocol
@@ -14,10 +14,10 @@
 
 
 class InstanceList(Protocol):
-    """What the system needs of the platform's list."""
+    """Operations that the system requires of the platform's instance list."""
 
     async def fetch(self):
-        """Return the list of `Instance` that the platform knows now."""
+        """Return the `Instance` objects that the platform lists."""
 
 
 class HttpInstanceList:
@@ -43,25 +43,25 @@
         Raises
         ------
         MagnoliagradeError
-            `STORE_UNAVAILABLE` if the list cannot be had.
+            `STORE_UNAVAILABLE` if the list cannot be fetched or is not valid JSON.
         """
         try:
             async with (
                 asyncio.timeout(CALL_TIMEOUT_S),
                 self._session.get(self._url) as response,
             ):
-                rows = await response.json()
-                return [_instance(row) for row in rows]
+                items = await response.json()
+                return [_instance(item) for item in items]
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError) as exc:
-            detail = f"instance list at {self._url}: {type(exc).__name__}"
+            detail = f"fetching instance list {self._url} failed: {type(exc).__name__}"
             raise MagnoliagradeError(ErrorKind.STORE_UNAVAILABLE, detail) from exc
 
 
-def _instance(row):
+def _instance(item):
     return Instance(
-        name=row["name"],
-        role=Role(row["role"]),
-        data_centre=row["data_centre"],
-        control_address=row["control_address"],
-        state=InstanceState(row["state"]),
+        name=item["name"],
+        role=Role(item["role"]),
+        data_centre=item["data_centre"],
+        control_address=item["control_address"],
+        state=InstanceState(item["state"]),
     )
--- a/packages/magnoliagrade/magnoliagrade/store/limiter.py
+++ b/packages/magnoliagrade/magnoliagrade/store/limiter.py
@@ -1,4 +1,4 @@
-"""A limit on the calls that one process makes to the platform's store."""
+"""Rate limit on the calls that one process makes to the platform's store."""
 
 from magnoliagrade.errors import ErrorKind, MagnoliagradeError
 
@@ -6,46 +6,51 @@
 
 BURST_S = 2.0
 BURST_MIN_CALLS = 20.0
-WAIT_LIMIT_S = 1.0
+MAX_WAIT_S = 1.0
 
 
 class CallLimiter:
-    """Lets calls through at a rate, with a burst.
+    """Token bucket that limits the rate of calls and allows bursts.
 
     Parameters
     ----------
     clock : Clock
         Source of time.
     rate : callable
-        Returns the calls a second that are allowed now.
+        Returns the current limit in calls per second.
 
     Notes
     -----
-    A call that would have to wait longer than `WAIT_LIMIT_S` is refused at once:
-    its caller knows better than a queue whether it still makes sense later.
+    A call that would have to wait longer than `MAX_WAIT_S` is rejected
+    at once: its caller knows better than a queue whether the call is still useful
+    later.
     """
 
-    __slots__ = ("_at", "_clock", "_rate", "_tokens")
+    __slots__ = ("_refilled_at", "_clock", "_calls_per_s", "_tokens")
 
-    def __init__(self, *, clock, rate):
+    def __init__(self, *, clock, calls_per_s):
         self._clock = clock
-        self._rate = rate
+        self._calls_per_s = calls_per_s
         self._tokens = BURST_MIN_CALLS
-        self._at = clock.monotonic()
+        self._refilled_at = clock.monotonic()
 
-    async def take(self):
-        """Wait for a turn.
+    async def acquire(self):
+        """Wait until a call is within the limit.
 
         Raises
         ------
         MagnoliagradeError
-            `STORE_LIMITED` if the wait would be too long.
+            `STORE_LIMITED` if the wait would exceed `MAX_WAIT_S`; `retry_after` gives
+            it in seconds.
         """
-        rate = self._rate()
-        self._fill(rate)
-        wait_s = max(0.0, (1.0 - self._tokens) / rate)
-        if wait_s > WAIT_LIMIT_S:
-            detail = f"this process makes more than {rate:.1f} store calls a second"
+        calls_per_s = self._calls_per_s()
+        self._refill(calls_per_s)
+        wait_s = max(0.0, (1.0 - self._tokens) / calls_per_s)
+        if wait_s > MAX_WAIT_S:
+            detail = (
+                "store call rejected: this process exceeds its limit of "
+                f"{calls_per_s:.1f} calls per second"
+            )
             raise MagnoliagradeError(
                 ErrorKind.STORE_LIMITED, detail, retry_after=wait_s
             )
@@ -53,8 +58,10 @@
         if wait_s:
             await self._clock.sleep(wait_s)
 
-    def _fill(self, rate):
+    def _refill(self, calls_per_s):
         now = self._clock.monotonic()
-        burst = max(BURST_MIN_CALLS, rate * BURST_S)
-        self._tokens = min(burst, self._tokens + (now - self._at) * rate)
-        self._at = now
+        burst = max(BURST_MIN_CALLS, calls_per_s * BURST_S)
+        self._tokens = min(
+            burst, self._tokens + (now - self._refilled_at) * calls_per_s
+        )
+        self._refilled_at = now
--- a/packages/magnoliagrade/magnoliagrade/store/tests/test_limiter.py
+++ b/packages/magnoliagrade/magnoliagrade/store/tests/test_limiter.py
@@ -5,13 +5,13 @@
 from magnoliagrade.store import CallLimiter
 
 
-def test_burst_then_rate_then_refusal():
+def test_calls_after_a_burst_wait_or_are_rejected_if_the_wait_is_too_long():
     async def main():
         clock = ManualClock()
-        limiter = CallLimiter(clock=clock, rate=lambda: 2.0)
+        limiter = CallLimiter(clock=clock, calls_per_s=lambda: 2.0)
         for _ in range(20):
-            await limiter.take()
-        waiting = [asyncio.create_task(limiter.take()) for _ in range(4)]
+            await limiter.acquire()
+        waiting = [asyncio.create_task(limiter.acquire()) for _ in range(4)]
         await clock.advance(0)
         await clock.advance(0.6)
         assert [t.done() for t in waiting] == [True, False, True, True]
@@ -20,7 +20,7 @@
         assert waiting[1].done() and _kind(waiting[1]) is None
         await clock.advance(100)
         for _ in range(20):
-            await limiter.take()
+            await limiter.acquire()
 
     asyncio.run(main())
 
