--- a/packages/magnoliagrade/magnoliagrade/node/__init__.py
+++ b/packages/magnoliagrade/magnoliagrade/node/__init__.py
@@ -1,4 +1,4 @@
-"""What the entry and the agent have in common as running processes."""
+"""Base of the processes of entries and agents: links, tasks, settings, commands."""
 
 from magnoliagrade.node.attempts import AttemptTable
 from magnoliagrade.node.command_line import has_further_flags
--- a/packages/magnoliagrade/magnoliagrade/node/admin.py
+++ b/packages/magnoliagrade/magnoliagrade/node/admin.py
@@ -14,9 +14,9 @@
     Parameters
     ----------
     reasons_not_ready : callable
-        Returns a list of texts; empty means ready.
+        Returns a list of strings; empty if the node is ready.
     routes : sequence of aiohttp.web.RouteDef
-        Further routes.
+        Further routes of the application.
 
     Returns
     -------
--- a/packages/magnoliagrade/magnoliagrade/node/attempts.py
+++ b/packages/magnoliagrade/magnoliagrade/node/attempts.py
@@ -1,4 +1,4 @@
-"""A table of attempts: which started and which were revoked."""
+"""Table of attempts at non-repeatable requests: which started, which were revoked."""
 
 import enum
 from collections import OrderedDict
@@ -7,8 +7,8 @@
 
 __all__ = ["AttemptTable"]
 
-MAX_ATTEMPTS_KEPT = 20_000
-MAX_SENDERS_KEPT = 10_000
+MAX_ATTEMPTS = 20_000
+MAX_SENDERS = 10_000
 
 
 class _State(enum.Enum):
@@ -22,15 +22,15 @@
     Parameters
     ----------
     max_attempts : int
-        Attempts that are remembered one by one.
+        Attempts that the table holds one by one.
 
     Notes
     -----
-    An attempt id names its sender's incarnation and a number that grows. When an
-    attempt is forgotten, its number becomes the sender's floor: of attempts up to
-    the floor the table says neither that they never started nor lets them start, so
-    forgetting costs an outcome that could have been known and never a second run.
-    Time and memory of an operation do not grow with the table.
+    An attempt id consists of its sender's incarnation and an increasing number. When
+    an attempt is evicted, its number becomes the sender's floor. The table neither lets
+    attempts up to the floor start nor reports that they never started, so an eviction
+    can turn a known outcome into an unknown one but never allows a second run. The time
+    and memory of an operation do not grow with the table.
 
     Examples
     --------
@@ -44,13 +44,13 @@
 
     __slots__ = ("_floor_by_sender", "_max_attempts", "_state_by_attempt")
 
-    def __init__(self, *, max_attempts=MAX_ATTEMPTS_KEPT):
+    def __init__(self, *, max_attempts=MAX_ATTEMPTS):
         self._max_attempts = max_attempts
         self._state_by_attempt = OrderedDict()
         self._floor_by_sender = OrderedDict()
 
     def begin(self, attempt):
-        """Note that an attempt starts.
+        """Record that an attempt starts.
 
         Parameters
         ----------
@@ -61,53 +61,53 @@
         ------
         MagnoliagradeError
             `NOT_RUN` if it was revoked, `OUTCOME_UNKNOWN` if it has started before
-            or is older than the table.
+            or its number is not above its sender's floor.
         """
         self.check(attempt)
-        self._remember(attempt, _State.STARTED)
+        self._record(attempt, _State.STARTED)
 
     def check(self, attempt):
-        """Raise what `begin` would raise, and note nothing."""
+        """Raise what `begin` would raise, without recording a start."""
         state = self._state_by_attempt.get(attempt)
         if state is _State.REVOKED:
             detail = f"attempt {attempt} was revoked"
             raise MagnoliagradeError(ErrorKind.NOT_RUN, detail)
         if state is _State.STARTED:
-            detail = f"attempt {attempt} came twice"
+            detail = f"attempt {attempt} has already started here"
             raise MagnoliagradeError(ErrorKind.OUTCOME_UNKNOWN, detail)
-        if self._is_forgotten(attempt):
-            detail = f"attempt {attempt} is older than the book of attempts"
+        if self._is_evicted(attempt):
+            detail = f"attempt {attempt} is older than those in the attempt table"
             raise MagnoliagradeError(ErrorKind.OUTCOME_UNKNOWN, detail)
 
     def record_undelivered(self, attempt):
-        """Note that an attempt which began did not reach the endpoint.
+        """Record that an attempt which began did not reach the endpoint.
 
         Parameters
         ----------
         attempt : str
             Id of the attempt; it may not begin again.
         """
-        self._remember(attempt, _State.REVOKED)
+        self._record(attempt, _State.REVOKED)
 
     def discard(self, attempt):
-        """Note that an attempt which began did not run and may begin again."""
+        """Remove an attempt that began but did not run, so that it may begin again."""
         self._state_by_attempt.pop(attempt, None)
 
     def revoke(self, attempt):
-        """Revoke an attempt; return whether it never started."""
+        """Revoke an attempt; return whether it is certain that it never started."""
         state = self._state_by_attempt.get(attempt)
         if state is not None:
             return state is _State.REVOKED
-        if self._is_forgotten(attempt):
+        if self._is_evicted(attempt):
             return False
-        self._remember(attempt, _State.REVOKED)
+        self._record(attempt, _State.REVOKED)
         return True
 
-    def _is_forgotten(self, attempt):
+    def _is_evicted(self, attempt):
         sender, number = _parse(attempt)
         return number <= self._floor_by_sender.get(sender, 0)
 
-    def _remember(self, attempt, state):
+    def _record(self, attempt, state):
         self._state_by_attempt[attempt] = state
         if len(self._state_by_attempt) <= self._max_attempts:
             return
@@ -115,13 +115,13 @@
         sender, number = _parse(oldest)
         floor = self._floor_by_sender.pop(sender, 0)
         self._floor_by_sender[sender] = max(floor, number)
-        if len(self._floor_by_sender) > MAX_SENDERS_KEPT:
+        if len(self._floor_by_sender) > MAX_SENDERS:
             self._floor_by_sender.popitem(last=False)
 
 
 def _parse(attempt):
     sender, _, number = attempt.rpartition(".")
     if not sender or not number.isdecimal():
-        detail = f"attempt id {attempt!r} is not INSTANCE.INCARNATION.NUMBER"
+        detail = f"attempt id {attempt!r} does not match INSTANCE.INCARNATION.NUMBER"
         raise MagnoliagradeError(ErrorKind.INVALID_REQUEST, detail)
     return sender, int(number)
--- a/packages/magnoliagrade/magnoliagrade/node/command_line.py
+++ b/packages/magnoliagrade/magnoliagrade/node/command_line.py
@@ -1,4 +1,4 @@
-"""Help texts of a command line, and the check of its arguments before it runs."""
+"""Help texts of command lines, and validation of arguments before a command runs."""
 
 import inspect
 
@@ -6,14 +6,14 @@
     "command_help",
     "has_further_flags",
     "overview",
-    "problem_with",
+    "find_problem",
     "public_commands",
     "split_arguments",
 ]
 
 
 def split_arguments(commands, arguments):
-    """Return the command that is called and its flags and positional arguments.
+    """Return the command in a list of arguments, its positional arguments and flags.
 
     Parameters
     ----------
@@ -25,11 +25,11 @@
     Returns
     -------
     command : str or None
-        First positional argument.
+        First positional argument; None without one.
     positional : list of str
-        Those after the command.
+        Positional arguments after the command.
     flags : list of str
-        Names of the flags, dashes within replaced by underscores.
+        Names of the flags, with dashes replaced by underscores.
     """
     switches = _switches(commands)
     positional = []
@@ -49,15 +49,16 @@
 
 
 def has_further_flags(*targets, find=tuple):
-    """Return a decorator that names where a command's further flags come from.
+    """Return a decorator that adds the flags of other functions to a command.
 
     Parameters
     ----------
     *targets : type or callable
-        Classes or functions whose parameters with a default are flags of the command
-        too.
+        Classes or functions whose parameters with a default become flags of the
+        command.
     find : callable, optional
-        Returns more of them, for those that are not imported unless they are needed.
+        Returns further targets; called only when the flags are needed, so that it can
+        import them lazily.
 
     Examples
     --------
@@ -68,15 +69,15 @@
     ['ranks']
     """
 
-    def note_targets(function):
+    def set_targets(function):
         function.further_flags = lambda: [*targets, *find()]
         return function
 
-    return note_targets
+    return set_targets
 
 
-def problem_with(commands, arguments):
-    """Return what is wrong with the arguments, or an empty text.
+def find_problem(commands, arguments):
+    """Return a message on the first invalid argument, or an empty string.
 
     Parameters
     ----------
@@ -87,16 +88,16 @@
 
     Notes
     -----
-    Fire finds a surplus argument only after it has run the command, which is too
-    late where the command changes something.
+    Fire detects a surplus argument only after it has run the command, which is too
+    late if the command has changed anything.
 
     Examples
     --------
     >>> class Example:
     ...     def stop(self, name, *, force=False): ...
-    >>> problem_with(Example, ["stop", "a", "--forse"])
+    >>> find_problem(Example, ["stop", "a", "--forse"])
     'stop: unknown flag --forse; known: --name, --force'
-    >>> problem_with(Example, ["stop", "a", "--force"])
+    >>> find_problem(Example, ["stop", "a", "--force"])
     ''
     """
     command, positional, flags = split_arguments(commands, arguments)
@@ -105,19 +106,21 @@
         return f"a command is required; known: {', '.join(by_name)}"
     if command not in by_name:
         return f"unknown command {command!r}; known: {', '.join(by_name)}"
-    own = inspect.signature(by_name[command]).parameters
+    parameters = inspect.signature(by_name[command]).parameters
     known = [p.name for p in [*_options(commands), *_flags_of(by_name[command])]]
     for flag in flags:
         if flag not in known:
-            flags_known = ", ".join(_flag(name) for name in known)
-            return f"{command}: unknown flag {_flag(flag)}; known: {flags_known}"
-    wanted = [
-        p for p in _without_self(own) if p.kind not in (p.KEYWORD_ONLY, p.VAR_KEYWORD)
+            known_flags = ", ".join(_flag_name(name) for name in known)
+            return f"{command}: unknown flag {_flag_name(flag)}; known: {known_flags}"
+    accepted = [
+        p
+        for p in _without_self(parameters)
+        if p.kind not in (p.KEYWORD_ONLY, p.VAR_KEYWORD)
     ]
-    is_open = any(p.kind is p.VAR_POSITIONAL for p in wanted)
-    if len(positional) > len(wanted) and not is_open:
-        return f"{command}: unexpected argument {positional[len(wanted)]!r}"
-    required = [p for p in wanted if p.default is p.empty]
+    is_variadic = any(p.kind is p.VAR_POSITIONAL for p in accepted)
+    if len(positional) > len(accepted) and not is_variadic:
+        return f"{command}: unexpected argument {positional[len(accepted)]!r}"
+    required = [p for p in accepted if p.default is p.empty]
     required = [p for p in required if p.kind is not p.VAR_POSITIONAL]
     missing = [p for p in required[len(positional) :] if p.name not in flags]
     if missing:
@@ -126,7 +129,7 @@
 
 
 def overview(commands, *, name):
-    """Return the help of a whole binary.
+    """Return the help text of a binary, with a summary of each command.
 
     Parameters
     ----------
@@ -142,12 +145,15 @@
     lines += ["commands:", *rows]
     if _options(commands):
         lines += ["", "flags of every command:", *_flag_rows(commands)]
-    lines += ["", f"{name} COMMAND --help tells more; {name} --version the version."]
+    lines += [
+        "",
+        f"{name} COMMAND --help for details; {name} --version for the version.",
+    ]
     return "\n".join(lines)
 
 
 def command_help(commands, *, name, command):
-    """Return the help of one command.
+    """Return the help text of one command.
 
     Parameters
     ----------
@@ -159,7 +165,7 @@
         Name of the command.
     """
     function = public_commands(commands)[command]
-    words = [_shown(p) for p in _flags_of(function)]
+    words = [_usage_word(p) for p in _flags_of(function)]
     lines = [f"usage: {' '.join([name, command, *words])}", ""]
     lines += inspect.getdoc(function).splitlines()
     if _options(commands):
@@ -190,9 +196,9 @@
 
 
 def _flags_of(function):
-    """Return the parameters that a command takes, those of its targets included."""
-    own = _without_self(inspect.signature(function).parameters)
-    flags = [p for p in own if p.kind is not p.VAR_KEYWORD]
+    """Return the parameters of a command, including those of its further targets."""
+    parameters = _without_self(inspect.signature(function).parameters)
+    flags = [p for p in parameters if p.kind is not p.VAR_KEYWORD]
     names = {parameter.name for parameter in flags}
     for target in getattr(function, "further_flags", tuple)():
         for parameter in inspect.signature(target).parameters.values():
@@ -216,14 +222,14 @@
 def _flag_rows(commands):
     rows = []
     for parameter in _options(commands):
-        shown = _flag(parameter.name)
+        usage_word = _flag_name(parameter.name)
         if not isinstance(parameter.default, bool):
-            shown += f"={parameter.name.upper()}"
-        rows.append(f"  {shown}  {_doc_of(commands, parameter.name)}")
+            usage_word += f"={parameter.name.upper()}"
+        rows.append(f"  {usage_word}  {_parameter_doc(commands, parameter.name)}")
     return rows
 
 
-def _doc_of(commands, parameter):
+def _parameter_doc(commands, parameter):
     lines = inspect.getdoc(commands).splitlines()
     for i, line in enumerate(lines):
         if line.partition(" : ")[0] == parameter:
@@ -231,24 +237,24 @@
     return ""
 
 
-def _shown(parameter):
+def _usage_word(parameter):
     name = parameter.name.upper()
     if parameter.kind is parameter.VAR_POSITIONAL:
         return f"[{name} ...]"
     if parameter.default is parameter.empty:
         return name
     if isinstance(parameter.default, bool):
-        return f"[{_flag(parameter.name)}]"
-    shown = "" if repr(parameter.default).startswith("<") else parameter.default
-    return f"[{_flag(parameter.name)}={shown}]"
+        return f"[{_flag_name(parameter.name)}]"
+    default = "" if repr(parameter.default).startswith("<") else parameter.default
+    return f"[{_flag_name(parameter.name)}={default}]"
 
 
-def _flag(name):
+def _flag_name(name):
     return "--" + name.replace("_", "-")
 
 
-def _summary(thing):
-    return inspect.getdoc(thing).partition("\n")[0]
+def _summary(documented):
+    return inspect.getdoc(documented).partition("\n")[0]
 
 
 def _is_number(text):
--- a/packages/magnoliagrade/magnoliagrade/node/commands.py
+++ b/packages/magnoliagrade/magnoliagrade/node/commands.py
@@ -1,4 +1,4 @@
-"""What the command lines of both binaries share."""
+"""Command line that the binaries of entry and agent share."""
 
 import sys
 import warnings
@@ -9,8 +9,8 @@
 from magnoliagrade.configuration import InvalidDocument, read_settings
 from magnoliagrade.node.command_line import (
     command_help,
+    find_problem,
     overview,
-    problem_with,
     public_commands,
     split_arguments,
 )
@@ -23,7 +23,7 @@
 
 
 def run_command_line(commands, *, name):
-    """Run a class of commands with Fire.
+    """Run the command that the process's arguments name, with Fire.
 
     Parameters
     ----------
@@ -44,16 +44,16 @@
     if wants_help and command in public_commands(commands):
         print(command_help(commands, name=name, command=command))
         return
-    if problem := problem_with(commands, arguments):
-        print(f"{name}: {problem}\n{name} --help tells more", file=sys.stderr)
+    if problem := find_problem(commands, arguments):
+        print(f"{name}: {problem}\nrun {name} --help for usage", file=sys.stderr)
         sys.exit(EXIT_INVALID)
-    # Fire parses paths as Python literals first, which warns on some of them.
+    # Fire first parses arguments as Python literals, which causes warnings on paths.
     warnings.simplefilter("ignore", SyntaxWarning)
     fire.Fire(commands, name=name)
 
 
 def serve_node(node_class, settings_class, file, *, bounds_logs=False):
-    """Run a node until SIGTERM and exit.
+    """Run a node until SIGTERM or SIGINT, then exit the process.
 
     Parameters
     ----------
@@ -62,9 +62,10 @@
     settings_class : type
         Class of its settings.
     file : str
-        Settings in INI.
+        Settings file in INI format.
     bounds_logs : bool
-        Whether logs go to standard output, at most as many lines as the settings say.
+        Whether logs go to standard output, limited to the lines per second in the
+        settings.
     """
     settings = read_settings_or_exit(settings_class, file)
     configure_logging(
@@ -79,13 +80,13 @@
 
 
 def check_settings(settings_class, file):
-    """Check a settings file and say so, or exit with its problems."""
+    """Print that a settings file is valid, or print its problems and exit with 2."""
     read_settings_or_exit(settings_class, file)
     print(f"{file}: ok")
 
 
 def read_settings_or_exit(settings_class, file):
-    """Return checked settings, or print every problem and exit with 2."""
+    """Return validated settings, or print every problem and exit with 2."""
     try:
         return read_settings(settings_class, file)
     except InvalidDocument as exc:
--- a/packages/magnoliagrade/magnoliagrade/node/configuration_spread.py
+++ b/packages/magnoliagrade/magnoliagrade/node/configuration_spread.py
@@ -1,4 +1,4 @@
-"""How nodes pass the configuration on over their links."""
+"""Propagation of the configuration between nodes over their links."""
 
 import gc
 import logging
@@ -19,8 +19,9 @@
 __all__ = ["ConfigurationPropagation", "register_propagation"]
 
 PULL_TIMEOUT_S = 1.0
-OFFER_LIMIT_BYTES = 1024 * 1024
-FREEZE_FROM_CHUNKS = 16
+MAX_OFFER_BYTES = 1024 * 1024
+# Changes with fewer parsed chunks do not cause a freeze of the garbage collector.
+GC_FREEZE_MIN_CHUNKS = 16
 
 CHANGES = Counter(
     "magnoliagrade_configuration_changes_total",
@@ -31,7 +32,7 @@
 
 
 class ConfigurationPropagation:
-    """Pulls newer configurations from peers and hands the own one out.
+    """Pulls newer configurations from peers and sends the local one to others.
 
     Parameters
     ----------
@@ -40,49 +41,52 @@
 
     Notes
     -----
-    Every message names the revision that its sender has in force. A node that is
-    behind pulls from one peer at a time and names the chunks that it holds, so a
-    change costs each node one root and the changed chunks, whatever the number of
-    its links. A node that got ahead says so at once with a heartbeat.
+    Every message contains the revision that its sender has in force. A node with an
+    older revision pulls from one peer at a time and lists the chunks that it holds, so
+    each node receives one root and the changed chunks per change, whatever the number
+    of its links. A node that puts a newer revision in force announces it at once with
+    a heartbeat.
     """
 
     __slots__ = (
         "_content_by_digest",
         "_node",
-        "_other_link",
+        "_next_link",
         "_pulled_at",
-        "_refused_revision",
+        "_rejected_revision",
     )
 
     def __init__(self, *, node):
         self._node = node
-        self._other_link = None
+        self._next_link = None
         self._pulled_at = None
-        self._refused_revision = 0
+        self._rejected_revision = 0
         self._content_by_digest = {}
 
     def on_message(self, link):
-        """Pull from a peer that is ahead, unless a pull is under way."""
+        """Pull from a peer with a newer revision, unless a pull is under way."""
         if link.peer_revision <= self._node.configuration.revision:
             return
-        if link.peer_revision <= self._refused_revision:
+        if link.peer_revision <= self._rejected_revision:
             return
         now = self._node.clock.monotonic()
         if self._pulled_at is not None and now - self._pulled_at < PULL_TIMEOUT_S:
-            self._other_link = link
+            self._next_link = link
             return
         self._pulled_at = now
-        self._other_link = None
-        self._node.tasks.start(self._ask_another(now), name="configuration-pull")
+        self._next_link = None
+        self._node.tasks.start(
+            self._end_pull_after_timeout(now), name="configuration-pull"
+        )
         link.send(
             ConfigurationPull(
                 known_revision=self._node.configuration.revision,
-                known_digests=sorted(self._held()),
+                known_digests=sorted(self._available_content()),
             )
         )
 
     async def on_pull(self, link, message):
-        """Send root and missing chunks to a peer that is behind."""
+        """Send the root and the missing chunks to a peer with an older revision."""
         stored = self._node.configuration.stored
         if stored is None or message.known_revision >= stored.revision:
             return
@@ -91,44 +95,44 @@
             await link.drain()
 
     async def on_offer(self, link, message):
-        """Put a peer's configuration in force once all of its chunks are here."""
+        """Put a peer's configuration in force once all its chunks were received."""
         if message.revision <= self._node.configuration.revision:
             self._end_pull()
             return
         root = ConfigurationRoot.from_bytes(message.root)
-        held = self._held()
+        available = self._available_content()
         for chunk in message.chunks:
             content = chunk.content.decode()
             self._content_by_digest[chunk_digest(content)] = content
-        held.update(self._content_by_digest)
-        wanted = {r.digest for r in root.chunk_by_name.values()}
-        if not wanted <= held.keys():
+        available.update(self._content_by_digest)
+        required_digests = {r.digest for r in root.chunk_by_name.values()}
+        if not required_digests <= available.keys():
             return
         stored = StoredConfiguration(
-            root=root, content_by_digest={d: held[d] for d in wanted}
+            root=root, content_by_digest={d: available[d] for d in required_digests}
         )
         await self.put_in_force(stored, source="peer")
         self._end_pull()
 
     async def put_in_force(self, stored, *, source):
-        """Put a configuration in force if it is valid and newer, and say so.
+        """Put a configuration in force if it is valid and newer, and announce it.
 
         Parameters
         ----------
         stored : StoredConfiguration
-            From the store or from a peer.
+            Configuration to put in force.
         source : str
-            `store`, `peer` or `operator`.
+            Origin: `store`, `peer` or `operator`.
         """
         node = self._node
         if stored.revision <= node.configuration.revision:
             CHANGES.labels(source, "older").inc()
             return
         try:
-            parsed = await node.configuration.prepare(stored)
+            parsed_chunks = await node.configuration.prepare(stored)
             applied = node.configuration.offer(stored, source=source)
         except MagnoliagradeError as exc:
-            self._refused_revision = max(self._refused_revision, stored.revision)
+            self._rejected_revision = max(self._rejected_revision, stored.revision)
             CHANGES.labels(source, "invalid").inc()
             log_event(
                 _log,
@@ -141,11 +145,12 @@
         if applied:
             CHANGES.labels(source, "in_force").inc()
             node.links.broadcast(Heartbeat())
-            if parsed >= FREEZE_FROM_CHUNKS:
-                _spare_from_collection()
+            if parsed_chunks >= GC_FREEZE_MIN_CHUNKS:
+                _exclude_from_garbage_collection()
 
-    async def _ask_another(self, pulled_at):
-        # Whoever was ahead during a pull that failed may not speak again for long.
+    async def _end_pull_after_timeout(self, pulled_at):
+        # A peer that announced a newer revision during a failed pull may not send
+        # another message soon, so the next pull goes to it after the time-out.
         await self._node.clock.sleep(PULL_TIMEOUT_S)
         if self._pulled_at == pulled_at:
             self._end_pull()
@@ -153,24 +158,24 @@
     def _end_pull(self):
         self._content_by_digest.clear()
         self._pulled_at = None
-        other, self._other_link = self._other_link, None
-        if other is not None:
-            self.on_message(other)
+        next_link, self._next_link = self._next_link, None
+        if next_link is not None:
+            self.on_message(next_link)
 
-    def _held(self):
+    def _available_content(self):
         stored = self._node.configuration.stored
-        held = dict(stored.content_by_digest) if stored is not None else {}
-        held.update(self._content_by_digest)
-        return held
+        available = dict(stored.content_by_digest) if stored is not None else {}
+        available.update(self._content_by_digest)
+        return available
 
 
 def register_propagation(handlers):
-    """File the handlers of the configuration's messages in a table.
+    """Register the handlers of the configuration's messages in a table.
 
     Parameters
     ----------
     handlers : HandlerTable
-        Table of a kind of node.
+        Table of one kind of node.
     """
 
     @handlers.on(ConfigurationPull)
@@ -182,16 +187,16 @@
         await node.propagation.on_offer(link, message)
 
 
-def _spare_from_collection():
-    # Thousands of organisations make each full collection a pause of tens of
-    # milliseconds; they hold no cycles, so the collector need not look at them.
+def _exclude_from_garbage_collection():
+    # With thousands of organisations, each full collection is a pause of tens of
+    # milliseconds. Their objects form no cycles, so the collector can skip them.
     gc.unfreeze()
     gc.collect()
     gc.freeze()
 
 
 def _offers(stored, known_digests):
-    # Each offer repeats the root; the last one makes the chunks complete.
+    # Each offer repeats the root; with the last one, the receiver has all chunks.
     root = stored.root.to_bytes()
     chunks = []
     size = 0
@@ -199,7 +204,7 @@
         if reference.digest in known_digests:
             continue
         content = stored.content_by_digest[reference.digest].encode()
-        if chunks and size + len(content) > OFFER_LIMIT_BYTES:
+        if chunks and size + len(content) > MAX_OFFER_BYTES:
             yield ConfigurationOffer(revision=stored.revision, root=root, chunks=chunks)
             chunks, size = [], 0
         size += len(content)
--- a/packages/magnoliagrade/magnoliagrade/node/configuration_state.py
+++ b/packages/magnoliagrade/magnoliagrade/node/configuration_state.py
@@ -1,4 +1,4 @@
-"""The configuration that a node has in force."""
+"""The configuration that is in force at a node."""
 
 import asyncio
 import logging
@@ -21,14 +21,14 @@
 
 
 class ConfigurationState:
-    """Newest configuration that this node has seen; never goes back.
+    """Configuration in force at this node; its revision never decreases.
 
     Parameters
     ----------
     clock : Clock
         Source of time.
     skipped_kinds : sequence of str
-        Kinds of sections that this node holds for its peers but does not parse.
+        Kinds of sections that this node stores for its peers but does not parse.
     """
 
     __slots__ = ("_chunks", "_clock", "applied_at", "in_force", "listeners", "stored")
@@ -47,26 +47,26 @@
         return self.in_force.revision
 
     async def prepare(self, stored):
-        """Parse what is new in a configuration, in slices.
+        """Parse the new chunks of a configuration, one per turn of the event loop.
 
         Parameters
         ----------
         stored : StoredConfiguration
-            What will be offered next.
+            Configuration that is passed to `offer` next.
 
         Returns
         -------
         parsed : int
-            Number of chunks that were new.
+            Number of chunks that were parsed.
 
         Raises
         ------
         InvalidDocument
-            If it cannot be parsed.
+            If a chunk cannot be parsed.
 
         Notes
         -----
-        Other tasks run between two chunks, so that requests are not held up.
+        Other tasks run between two chunks, so that requests are not delayed.
         """
         missing = self._chunks.missing(stored)
         for name in missing:
@@ -82,17 +82,17 @@
         stored : StoredConfiguration
             Configuration from the store or from a peer.
         source : str
-            Where it came from, for the log.
+            Origin of the configuration, for the log.
 
         Returns
         -------
         applied : bool
-            Whether it is now in force.
+            Whether it was put in force.
 
         Raises
         ------
         InvalidDocument
-            If it cannot be parsed.
+            If a chunk cannot be parsed.
         """
         if stored is None or stored.revision <= self.revision:
             return False
@@ -112,7 +112,7 @@
         return True
 
     def age_s(self):
-        """Return the seconds since the configuration was put in force."""
+        """Return for how many seconds the configuration is in force; 0 without one."""
         if self.applied_at is None:
             return 0.0
         return (self._clock.now() - self.applied_at).total_seconds()
--- a/packages/magnoliagrade/magnoliagrade/node/direct_settings.py
+++ b/packages/magnoliagrade/magnoliagrade/node/direct_settings.py
@@ -1,4 +1,4 @@
-"""Settings that processes on the operators' platform have in common."""
+"""Settings common to the processes on the operators' platform."""
 
 from dataclasses import dataclass
 
@@ -9,23 +9,21 @@
 
 @dataclass(slots=True, kw_only=True)
 class DirectProcessSettings:
-    """Settings of every direct process; each field documents itself."""
+    """Settings of every direct process; the `doc` of a field describes it."""
 
     name: str = setting(section="instance", doc="name of the instance")
-    data_centre: str = setting(
-        section="instance", doc="data centre that the instance stands in"
-    )
+    data_centre: str = setting(section="instance", doc="data centre of the instance")
     link_address: str = setting(
         section="listen",
-        doc="where other processes of the same kind open links",
+        doc="address that accepts links from processes of the same kind",
         address=True,
     )
     metrics_address: str = setting(
-        section="listen", doc="where metrics are served", address=True
+        section="listen", doc="address that serves metrics", address=True
     )
     source_address: str = setting(
         section="listen",
-        doc="local address of outgoing connections; empty leaves it to the system",
+        doc="local address of outgoing connections; empty lets the system choose",
         default="",
     )
     store_address: str = setting(
@@ -39,7 +37,7 @@
     )
     log_lines_per_s: float = setting(
         section="logs",
-        doc="log lines that are written at most, on average; more are counted only",
+        doc="log lines written on average, at most; lines beyond it are only counted",
         unit="1/s",
         default=100.0,
         low=1,
@@ -47,5 +45,5 @@
     )
 
     def combinations(self):
-        """Return texts for settings that cannot go together."""
+        """Return a message for each combination of settings that is invalid."""
         return same_addresses(self)
--- a/packages/magnoliagrade/magnoliagrade/node/handlers.py
+++ b/packages/magnoliagrade/magnoliagrade/node/handlers.py
@@ -1,4 +1,4 @@
-"""Tables of message handlers, filled by decorators."""
+"""Table of message handlers that are registered by a decorator."""
 
 import logging
 
@@ -10,7 +10,7 @@
 
 
 class HandlerTable:
-    """Handlers of one kind of node, by class of message.
+    """Handlers of one kind of node by message class.
 
     Examples
     --------
@@ -28,7 +28,7 @@
         self.by_message = {}
 
     def on(self, message_class):
-        """Return a decorator that files a coroutine function for a class.
+        """Return a decorator that registers the handler of a message class.
 
         Raises
         ------
@@ -36,24 +36,24 @@
             If the class has a handler already.
         """
 
-        def file_handler(handler):
+        def add_handler(handler):
             if message_class in self.by_message:
                 name = message_class.__name__
-                raise ValueError(f"message {name} has a handler already")
+                raise ValueError(f"message class {name} already has a handler")
             self.by_message[message_class] = handler
             return handler
 
-        return file_handler
+        return add_handler
 
     async def handle(self, node, link, message):
-        """Run the handler of a message; unknown ones are logged and dropped.
+        """Run the handler of a message; log and drop a message without a handler.
 
         Parameters
         ----------
         node : object
             The entry or agent.
         link : Link
-            Where the message came from.
+            Link that the message was received on.
         message : object
             The message.
         """
--- a/packages/magnoliagrade/magnoliagrade/node/links.py
+++ b/packages/magnoliagrade/magnoliagrade/node/links.py
@@ -1,4 +1,4 @@
-"""The links that a node holds and what runs on each."""
+"""Open links of a node, their message loop and their heartbeats."""
 
 import logging
 
@@ -8,9 +8,9 @@
 __all__ = ["LinkTable", "run_link", "send_heartbeats"]
 
 HEARTBEAT_INTERVAL_S = 2.0
-# The longest time between two messages of a healthy link.
-HEARTBEAT_GAP_S = 2 * HEARTBEAT_INTERVAL_S
-SILENCE_LIMIT_S = 6.0
+# Longest time between two messages received on a healthy link.
+MAX_MESSAGE_GAP_S = 2 * HEARTBEAT_INTERVAL_S
+SILENCE_TIMEOUT_S = 6.0
 
 _log = logging.getLogger(__name__)
 
@@ -26,65 +26,65 @@
         Name of this instance.
     """
 
-    __slots__ = ("_clock", "_heard_by_link", "_own_name", "by_instance")
+    __slots__ = ("_clock", "_received_at_by_link", "_own_name", "by_instance")
 
     def __init__(self, *, clock, own_name):
         self._clock = clock
         self._own_name = own_name
         self.by_instance = {}
-        self._heard_by_link = {}
+        self._received_at_by_link = {}
 
     def add(self, link):
-        """Enter a link and close the one that it replaces, or the other way.
+        """Add a link; close it or the existing link to the same instance.
 
         Parameters
         ----------
         link : Link
-            A link whose sides have said hello.
+            A link whose sides have exchanged a `Hello`.
 
         Returns
         -------
         is_kept : bool
-            Whether the new link is the one to keep.
+            Whether the new link was added; False if it was closed.
 
         Notes
         -----
         Two instances that dial each other at the same time must keep the same one
-        of the two links: that dialled by the instance whose name sorts first.
+        of the two links: the one dialled by the instance whose name sorts first.
         """
-        older = self.by_instance.get(link.peer_instance)
-        if older is not None and self._is_preferred(older, link):
+        existing = self.by_instance.get(link.peer_instance)
+        if existing is not None and self._is_preferred(existing, link):
             link.close()
             return False
-        if older is not None:
-            older.close()
+        if existing is not None:
+            existing.close()
         self.by_instance[link.peer_instance] = link
-        self._heard_by_link[link] = self._clock.monotonic()
+        self._received_at_by_link[link] = self._clock.monotonic()
         return True
 
-    def _is_preferred(self, older, newer):
-        if older.is_closing or older.peer_incarnation != newer.peer_incarnation:
+    def _is_preferred(self, existing, new):
+        if existing.is_closing or existing.peer_incarnation != new.peer_incarnation:
             return False
-        if older.is_dialled == newer.is_dialled:
+        if existing.is_dialled == new.is_dialled:
             return False
-        if self.silence_s(older) > HEARTBEAT_GAP_S:
+        if self.silence_s(existing) > MAX_MESSAGE_GAP_S:
             return False
-        return older.is_dialled == (self._own_name < older.peer_instance)
+        return existing.is_dialled == (self._own_name < existing.peer_instance)
 
     def remove(self, link):
-        """Remove a link; a newer one of the same instance stays."""
-        self._heard_by_link.pop(link, None)
+        """Remove a link, but not a newer link to the same instance."""
+        self._received_at_by_link.pop(link, None)
         if self.by_instance.get(link.peer_instance) is link:
             del self.by_instance[link.peer_instance]
 
-    def note_received(self, link):
-        """Note that something arrived on a link."""
-        self._heard_by_link[link] = self._clock.monotonic()
+    def record_received(self, link):
+        """Record that a message was received on a link."""
+        self._received_at_by_link[link] = self._clock.monotonic()
 
     def silence_s(self, link):
-        """Return the seconds since something arrived on a link."""
-        heard = self._heard_by_link.get(link, self._clock.monotonic())
-        return self._clock.monotonic() - heard
+        """Return the seconds since a message was last received on a link."""
+        received_at = self._received_at_by_link.get(link, self._clock.monotonic())
+        return self._clock.monotonic() - received_at
 
     def of_role(self, role):
         """Return the links to instances of a role.
@@ -92,25 +92,27 @@
         Parameters
         ----------
         role : Role
-            Entry or agent.
+            Role of the instances: entry or agent.
         """
-        return [k for k in self.by_instance.values() if k.hello.role == role.value]
+        return [
+            link for link in self.by_instance.values() if link.hello.role == role.value
+        ]
 
     def broadcast(self, message):
-        """Send a message over every link."""
+        """Send a message on every link."""
         for link in list(self.by_instance.values()):
             link.send(message)
 
 
 async def run_link(node, link, handlers):
-    """Enter a link and handle its messages until it ends.
+    """Add a link to the node's table and handle its messages until it ends.
 
     Parameters
     ----------
     node : object
         Entry or agent with a `links` table and `on_link_up`, `on_link_down`.
     link : Link
-        A link whose sides have said hello.
+        A link whose sides have exchanged a `Hello`.
     handlers : HandlerTable
         Handlers of this kind of node.
     """
@@ -119,12 +121,12 @@
     log_event(_log, "link.up", peer=link.peer_instance, role=link.hello.role)
     try:
         node.on_link_up(link)
-        # The hello that came before may tell of a newer configuration.
-        _note_revision(node, link)
+        # The Hello received before may name a newer configuration revision.
+        _check_peer_revision(node, link)
         while True:
             message = await link.receive()
-            node.links.note_received(link)
-            _note_revision(node, link)
+            node.links.record_received(link)
+            _check_peer_revision(node, link)
             await handlers.handle(node, link, message)
     finally:
         node.links.remove(link)
@@ -133,7 +135,7 @@
 
 
 async def send_heartbeats(node):
-    """Send a heartbeat on every idle link and close those that fell silent.
+    """Send heartbeats on idle links and close links that time out, until cancelled.
 
     Parameters
     ----------
@@ -142,13 +144,13 @@
 
     Notes
     -----
-    Any message shows that its sender is alive, so a link that carried one lately
-    needs no heartbeat.
+    Any message shows that its sender is alive, so a link on which one was sent during
+    the last heartbeat interval needs no heartbeat.
     """
     while True:
         await node.clock.sleep(HEARTBEAT_INTERVAL_S)
         for link in list(node.links.by_instance.values()):
-            if node.links.silence_s(link) > SILENCE_LIMIT_S:
+            if node.links.silence_s(link) > SILENCE_TIMEOUT_S:
                 log_event(_log, "link.silent", peer=link.peer_instance)
                 link.close()
                 continue
@@ -157,6 +159,6 @@
                 link.take_has_sent()
 
 
-def _note_revision(node, link):
+def _check_peer_revision(node, link):
     if link.peer_revision > node.configuration.revision:
-        node.on_peer_ahead(link)
+        node.on_newer_revision(link)
--- a/packages/magnoliagrade/magnoliagrade/node/node.py
+++ b/packages/magnoliagrade/magnoliagrade/node/node.py
@@ -1,4 +1,4 @@
-"""What an entry and an agent share: identity, links, listeners, shutdown."""
+"""Base class of entries and agents: identity, links, listeners, shutdown."""
 
 import asyncio
 import random
@@ -27,12 +27,12 @@
 
 __all__ = ["Node"]
 
-DRAIN_POLL_S = 0.05
+DRAIN_POLL_INTERVAL_S = 0.05
 STORE_CALLS_PER_S = 5.0
 
 
 class Node:
-    """One running process of the system.
+    """Base of an entry or agent process.
 
     Parameters
     ----------
@@ -43,7 +43,7 @@
     task_table : TaskTable
         Background tasks of this kind of node.
     clock : Clock, optional
-        Source of time; the system's by default.
+        Source of time; the system clock by default.
     """
 
     __slots__ = (
@@ -94,7 +94,7 @@
         self._server = None
 
     def open_clients(self):
-        """Open the tracer, the HTTP session and the store's client."""
+        """Create the tracer, the HTTP session and the store's client."""
         settings = self.settings
         self._tracing = configure_tracing(
             instance=settings.name,
@@ -109,12 +109,12 @@
         )
 
     def make_session(self, *, keeps_connections=True):
-        """Return an HTTP session.
+        """Return a new HTTP session without a total time-out and without cookies.
 
         Parameters
         ----------
         keeps_connections : bool
-            Whether a connection serves further requests.
+            Whether connections are reused for further requests.
         """
         address = self.settings.source_address
         connector = aiohttp.TCPConnector(
@@ -126,12 +126,13 @@
             connector=connector,
             timeout=aiohttp.ClientTimeout(total=None),
             auto_decompress=False,
-            # Cookies belong to callers; a jar would send them with others' requests.
+            # Cookies belong to callers; a cookie jar would add one caller's cookies to
+            # the requests of others.
             cookie_jar=aiohttp.DummyCookieJar(),
         )
 
     async def listen_http(self, name, app, address, **runner_options):
-        """Serve an application and note its bound address under a name."""
+        """Start serving an application; store its bound address under a name."""
         runner, bound = await start_site(app, address, **runner_options)
         self._runners.append(runner)
         self.addresses[name] = bound
@@ -139,20 +140,20 @@
     async def listen_for_requests(
         self, name, handle, address, *, limits=None, is_internal=False
     ):
-        """Serve a listener and note its bound address under a name.
+        """Start a listener for requests; store its bound address under a name.
 
         Parameters
         ----------
         name : str
             Name of the listener.
         handle : coroutine function
-            Takes an HTTP request and returns a response.
+            Called with an HTTP request; returns the response.
         address : str
             `host:port` to listen on.
         limits : ListenerLimits, optional
-            What a connection may ask; wide ones by default.
+            Limits of a connection; by default the wide ones of `ListenerLimits`.
         is_internal : bool
-            Whether own processes are on the other side.
+            Whether the listener's clients are processes of this system.
         """
         runner, bound = await start_listener(
             handle,
@@ -164,13 +165,13 @@
         self.addresses[name] = bound
 
     async def listen_admin(self, routes=()):
-        """Serve health, readiness and metrics."""
+        """Start the admin listener for health, readiness and metrics."""
         expose_process_metrics(self)
         app = make_admin_app(reasons_not_ready=self.reasons_not_ready, routes=routes)
         await self.listen_http("admin", app, self.settings.admin_address)
 
     async def listen_links(self):
-        """Listen for links of other processes."""
+        """Start to accept links from other processes."""
         host, _, port = self.settings.control_address.rpartition(":")
         self._server = await serve_links(
             host=host,
@@ -188,30 +189,30 @@
         announce_ready(**self.addresses)
 
     async def announce_leaving(self):
-        """Announce to every linked instance that this one takes no new work."""
+        """Announce on every link that this instance accepts no new work."""
         self.is_leaving = True
         self.links.broadcast(Leaving(reason="shutdown"))
         await asyncio.sleep(0)
 
     async def wait_for_requests(self, count_in_flight):
-        """Wait until nothing is in flight or the drain limit has passed.
+        """Wait until no request is in flight, at most `drain_limit_s` seconds.
 
         Parameters
         ----------
         count_in_flight : callable
             Returns the number of requests in flight.
         """
-        limit = self.clock.monotonic() + self.settings.drain_limit_s
-        while count_in_flight() and self.clock.monotonic() < limit:
-            await self.clock.sleep(DRAIN_POLL_S)
+        deadline = self.clock.monotonic() + self.settings.drain_limit_s
+        while count_in_flight() and self.clock.monotonic() < deadline:
+            await self.clock.sleep(DRAIN_POLL_INTERVAL_S)
 
     async def close(self):
         """Close listeners, links, tasks and clients.
 
         Notes
         -----
-        The HTTP listeners go first: what still arrives on an open connection is
-        served, and that may need links and tasks.
+        The HTTP listeners are closed first: requests that still arrive on open
+        connections are served, which may need links and tasks.
         """
         self._server.close()
         await asyncio.gather(*(runner.cleanup() for runner in self._runners))
@@ -249,19 +250,19 @@
         )
 
     def store_calls_per_s(self):
-        """Return how many calls a second this process may make to the store."""
+        """Return this process's limit on calls to the store, in calls per second."""
         return STORE_CALLS_PER_S
 
-    def on_peer_ahead(self, link):
-        """Ask the other side of a link for its newer configuration."""
+    def on_newer_revision(self, link):
+        """Pull the newer configuration of the instance on the other side of a link."""
         self.propagation.on_message(link)
 
     def on_link_up(self, link):
-        """Note that a link has come up."""
+        """Handle a link that was added; does nothing by default."""
 
     def on_link_down(self, link):
-        """Note that a link has gone down."""
+        """Handle a link that was removed; does nothing by default."""
 
     def reasons_not_ready(self):
-        """Return why this node should get no requests; empty if ready."""
+        """Return the reasons why this node must get no requests; empty if ready."""
         return ["the instance is leaving"] if self.is_leaving else []
--- a/packages/magnoliagrade/magnoliagrade/node/outcomes.py
+++ b/packages/magnoliagrade/magnoliagrade/node/outcomes.py
@@ -1,4 +1,4 @@
-"""A table of how orders ended, for an entry that lost the answer."""
+"""Table of the outcomes of orders, for an entry that lost the response."""
 
 from collections import OrderedDict
 
@@ -7,16 +7,17 @@
 
 __all__ = ["OutcomeTable"]
 
-MAX_OUTCOMES_KEPT = 2_000
+MAX_OUTCOMES = 2_000
 
 
 class OutcomeTable:
-    """Orders that run here and recorded answers of those that ended.
+    """Orders that run in this process and recorded responses of those that ended.
 
     Notes
     -----
-    The table only ever adds knowledge: what it has forgotten is an unknown outcome.
-    At most 2,000 answers of half a kilobyte are kept.
+    An entry that lost a response asks for the outcome with a `Revoke`. The outcome of
+    an order whose response was evicted is unknown. The table holds at most 2,000
+    responses of half a kilobyte each.
     """
 
     __slots__ = ("_recorded_by_attempt", "_running")
@@ -26,16 +27,16 @@
         self._recorded_by_attempt = OrderedDict()
 
     async def serve_and_record(self, attempt, sink, serve):
-        """Serve an order and keep its answer.
+        """Serve an order and record its response.
 
         Parameters
         ----------
         attempt : str
             Id of the attempt.
         sink : ResponseSink
-            Where the answer goes.
+            Receives the response.
         serve : coroutine function
-            Called with the sink to write to.
+            Called with the sink that it must write the response to.
         """
         recording = RecordingSink(sink=sink)
         self._running.add(attempt)
@@ -45,11 +46,11 @@
             self._running.discard(attempt)
         if recording.recorded is not None:
             self._recorded_by_attempt[attempt] = recording.recorded
-        if len(self._recorded_by_attempt) > MAX_OUTCOMES_KEPT:
+        if len(self._recorded_by_attempt) > MAX_OUTCOMES:
             self._recorded_by_attempt.popitem(last=False)
 
     def revoke_reply(self, attempt, *, never_started):
-        """Return the answer to a `Revoke`.
+        """Return the `RevokeAnswer` that replies to a `Revoke`.
 
         Parameters
         ----------
@@ -58,13 +59,13 @@
         never_started : bool
             Whether the attempt never started and never will.
         """
-        answer = RevokeAnswer(attempt=attempt, never_started=never_started)
+        reply = RevokeAnswer(attempt=attempt, never_started=never_started)
         if never_started:
-            return answer
-        answer.is_running = attempt in self._running
+            return reply
+        reply.is_running = attempt in self._running
         recorded = self._recorded_by_attempt.get(attempt)
         if recorded is not None:
-            answer.status = recorded.status
-            answer.content_type = recorded.content_type
-            answer.body = recorded.body
-        return answer
+            reply.status = recorded.status
+            reply.content_type = recorded.content_type
+            reply.body = recorded.body
+        return reply
--- a/packages/magnoliagrade/magnoliagrade/node/process.py
+++ b/packages/magnoliagrade/magnoliagrade/node/process.py
@@ -1,4 +1,4 @@
-"""Starting and stopping a process: listeners, signals, the ready line."""
+"""Start and stop of a process: listeners, signals, the ready line."""
 
 import asyncio
 import json
@@ -14,23 +14,23 @@
 
 
 async def start_site(app, address, **runner_options):
-    """Serve an application and return its runner and bound address.
+    """Start serving an application; return its runner and bound address.
 
     Parameters
     ----------
     app : aiohttp.web.Application
-        What to serve.
+        Application to serve.
     address : str
-        `host:port`; port 0 takes a free one.
+        `host:port`; port 0 selects a free port.
     **runner_options
         Options of `aiohttp.web.AppRunner`.
 
     Returns
     -------
     runner : aiohttp.web.AppRunner
-        To be cleaned up when the process stops.
+        The caller must clean it up when the process stops.
     bound : str
-        `host:port` that is listened on.
+        `host:port` that the application is served on.
     """
     runner = web.AppRunner(app, access_log=None, **runner_options)
     return runner, await listen(runner, address)
@@ -54,9 +54,9 @@
     Parameters
     ----------
     start : coroutine function
-        Starts everything.
+        Starts the process's listeners and tasks.
     stop : coroutine function
-        Shuts down gracefully.
+        Shuts the process down gracefully.
 
     Returns
     -------
@@ -67,8 +67,8 @@
     async def main():
         loop = asyncio.get_running_loop()
         stopping = asyncio.Event()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, stopping.set)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, stopping.set)
         await start()
         await stopping.wait()
         await stop()
--- a/packages/magnoliagrade/magnoliagrade/node/settings.py
+++ b/packages/magnoliagrade/magnoliagrade/node/settings.py
@@ -1,4 +1,4 @@
-"""Settings that entries and agents have in common."""
+"""Settings common to entries and agents."""
 
 from dataclasses import dataclass
 
@@ -9,52 +9,52 @@
 
 @dataclass(slots=True, kw_only=True)
 class NodeSettings:
-    """Settings of every process; each field documents itself."""
+    """Settings of every entry and agent; the `doc` of a field describes it."""
 
     name: str = setting(
         section="instance", doc="name of the instance", env="MAGNOLIAGRADE_INSTANCE"
     )
     data_centre: str = setting(
         section="instance",
-        doc="data centre that the instance stands in",
+        doc="data centre of the instance",
         env="MAGNOLIAGRADE_DATA_CENTRE",
     )
     data_address: str = setting(
         section="listen",
-        doc="where entries send requests",
+        doc="address that receives requests from entries",
         address=True,
         default="127.0.0.1:0",
         env="MAGNOLIAGRADE_DATA_ADDRESS",
     )
     control_address: str = setting(
         section="listen",
-        doc="where entries open links",
+        doc="address that accepts links from entries",
         address=True,
         default="127.0.0.1:0",
         env="MAGNOLIAGRADE_CONTROL_ADDRESS",
     )
     admin_address: str = setting(
         section="listen",
-        doc="health, readiness and metrics",
+        doc="address that serves health, readiness and metrics",
         address=True,
         default="127.0.0.1:0",
         env="MAGNOLIAGRADE_ADMIN_ADDRESS",
     )
     advertised_data_address: str = setting(
         section="listen",
-        doc="where others reach the data listener; empty means where it listens",
+        doc="address at which others reach the data listener; empty: its own",
         address=True,
         default="",
     )
     advertised_control_address: str = setting(
         section="listen",
-        doc="where others reach the control listener; empty means where it listens",
+        doc="address at which others reach the control listener; empty: its own",
         address=True,
         default="",
     )
     source_address: str = setting(
         section="listen",
-        doc="local address of outgoing connections; empty leaves it to the system",
+        doc="local address of outgoing connections; empty lets the system choose",
         default="",
         env="MAGNOLIAGRADE_SOURCE_ADDRESS",
     )
@@ -74,7 +74,7 @@
     )
     otlp_url: str = setting(
         section="traces",
-        doc="where spans go by OTLP over HTTP; empty writes JSON lines",
+        doc="URL that receives spans by OTLP over HTTP; empty writes JSON lines",
         url=True,
         default="",
     )
@@ -87,5 +87,5 @@
     )
 
     def combinations(self):
-        """Return texts for settings that cannot go together."""
+        """Return a message for each combination of settings that is invalid."""
         return same_addresses(self)
--- a/packages/magnoliagrade/magnoliagrade/node/status_report.py
+++ b/packages/magnoliagrade/magnoliagrade/node/status_report.py
@@ -1,4 +1,4 @@
-"""The state of a node as operators' commands ask for it over a link."""
+"""Handler that reports the state of a node to operators' commands over a link."""
 
 from magnoliagrade.wire import StatusPull, StatusReport
 
@@ -6,12 +6,12 @@
 
 
 def register_status(handlers):
-    """File the handler of `StatusPull` in a table.
+    """Register the handler of `StatusPull` in a table.
 
     Parameters
     ----------
     handlers : HandlerTable
-        Table of a kind of node.
+        Table of one kind of node.
     """
 
     @handlers.on(StatusPull)
--- a/packages/magnoliagrade/magnoliagrade/node/tasks.py
+++ b/packages/magnoliagrade/magnoliagrade/node/tasks.py
@@ -1,4 +1,4 @@
-"""Background tasks of a node: a table to start and a book of running ones."""
+"""Background tasks of a node: those started with it and those that run."""
 
 import asyncio
 import logging
@@ -11,7 +11,7 @@
 
 
 class TaskTable:
-    """Coroutine functions that a node runs from start to stop."""
+    """Coroutine functions, by name, that a node runs from its start to its stop."""
 
     __slots__ = ("by_name",)
 
@@ -19,25 +19,25 @@
         self.by_name = {}
 
     def register(self, name):
-        """Return a decorator that files a coroutine function `f(node)`.
+        """Return a decorator that registers a coroutine function `f(node)`.
 
         Raises
         ------
         ValueError
-            If the name is taken.
+            If a task of that name is registered already.
         """
 
-        def file_task(function):
+        def add_task(function):
             if name in self.by_name:
                 raise ValueError(f"background task {name!r} is registered already")
             self.by_name[name] = function
             return function
 
-        return file_task
+        return add_task
 
 
 class Tasks:
-    """Running tasks, kept referenced and logged when they fail."""
+    """Running tasks: holds a reference to each and logs those that fail."""
 
     __slots__ = ("_running",)
 
@@ -45,14 +45,14 @@
         self._running = set()
 
     def start(self, coroutine, *, name):
-        """Run a coroutine as a task.
+        """Start a coroutine as a task.
 
         Parameters
         ----------
         coroutine : coroutine
-            What to run.
+            Coroutine that the task runs.
         name : str
-            Name for logs.
+            Name of the task in logs.
 
         Returns
         -------
@@ -65,7 +65,7 @@
         return task
 
     async def stop(self):
-        """Cancel every task and wait for all to end."""
+        """Cancel all tasks and wait until they have ended."""
         tasks = list(self._running)
         for task in tasks:
             task.cancel()
--- a/packages/magnoliagrade/magnoliagrade/node/tests/test_attempts.py
+++ b/packages/magnoliagrade/magnoliagrade/node/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""The table of attempts: starts, tombstones, what forgetting means."""
+"""Attempt table: starts, revocations and the effect of evictions."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -28,7 +28,7 @@
     assert table.revoke("e.1.1")
 
 
-def test_second_copy_is_refused():
+def test_second_begin_of_an_attempt_is_rejected():
     table = AttemptTable()
     table.begin("e.1.1")
     assert _kind(table, "e.1.1") is ErrorKind.OUTCOME_UNKNOWN
--- a/packages/magnoliagrade/magnoliagrade/node/tests/test_command_line.py
+++ b/packages/magnoliagrade/magnoliagrade/node/tests/test_command_line.py
@@ -1,7 +1,7 @@
 from magnoliagrade.node.command_line import (
     command_help,
+    find_problem,
     has_further_flags,
-    problem_with,
     split_arguments,
 )
 
@@ -20,10 +20,10 @@
 
 
 def _problem(*arguments):
-    return problem_with(Commands, list(arguments))
+    return find_problem(Commands, list(arguments))
 
 
-def test_what_the_signatures_allow_passes():
+def test_arguments_that_match_the_signatures_are_accepted():
     for arguments in (
         ("drain", "a"),
         ("drain", "--name=a"),
@@ -35,7 +35,7 @@
         assert _problem(*arguments) == "", arguments
 
 
-def test_each_misuse_is_named():
+def test_each_invalid_argument_is_named_in_the_problem():
     for arguments, word in (
         ((), "a command is required"),
         (("drian", "a"), "'drian'"),
@@ -48,14 +48,14 @@
         assert word in _problem(*arguments), arguments
 
 
-def test_value_of_a_flag_is_no_positional_argument():
+def test_value_of_a_flag_is_not_a_positional_argument():
     command, positional, flags = split_arguments(
         Commands, ["--store", "u", "drain", "a", "--json", "b"]
     )
     assert (command, positional, flags) == ("drain", ["a", "b"], ["store", "json"])
 
 
-def test_commands_that_take_any_flags_know_those_of_their_targets():
+def test_command_with_further_flags_accepts_the_flags_of_its_targets():
     def plan(*, ranks=3, is_slow=False): ...
 
     class Commands:
@@ -69,10 +69,10 @@
         def trial(self, name, **options):
             """Try."""
 
-    assert not problem_with(Commands, ["explore", "--ranks=2", "--is-slow"])
-    assert not problem_with(Commands, ["trial", "one", "--is-slow", "--ranks", "2"])
-    assert "unknown flag --rank;" in problem_with(Commands, ["explore", "--rank=2"])
-    assert "unexpected argument" in problem_with(Commands, ["trial", "one", "two"])
+    assert not find_problem(Commands, ["explore", "--ranks=2", "--is-slow"])
+    assert not find_problem(Commands, ["trial", "one", "--is-slow", "--ranks", "2"])
+    assert "unknown flag --rank;" in find_problem(Commands, ["explore", "--rank=2"])
+    assert "unexpected argument" in find_problem(Commands, ["trial", "one", "two"])
     shown = command_help(Commands, name="x", command="explore")
     assert "[--seed=1] [--ranks=3] [--is-slow]" in shown
     assert "bounds" not in shown
--- a/packages/magnoliagrade/magnoliagrade/node/tests/test_configuration_spread.py
+++ b/packages/magnoliagrade/magnoliagrade/node/tests/test_configuration_spread.py
@@ -49,14 +49,14 @@
     )
 
 
-def test_change_that_follows_an_answer_of_no_use_is_pulled_at_once():
+def test_change_after_an_outdated_offer_is_pulled_at_once():
     async def main():
         node = _node(ManualClock())
         first, second = _Link(2), _Link(2)
         node.propagation.on_message(first)
         node.propagation.on_message(second)
         assert (first.pulls, second.pulls) == (1, 0)
-        # The store was faster than the peer.
+        # Revision 2 arrives from the store before the peer offers it.
         await node.propagation.put_in_force(_stored(2), source="store")
         await node.propagation.on_offer(first, _offer(2))
         second.peer_revision = 3
@@ -69,7 +69,7 @@
     asyncio.run(main())
 
 
-def test_peer_that_does_not_answer_a_pull_is_replaced():
+def test_pull_that_times_out_is_sent_to_the_next_peer():
     async def main():
         clock = ManualClock()
         node = _node(clock)
@@ -84,7 +84,7 @@
     asyncio.run(main())
 
 
-def test_lower_revision_never_comes_into_force():
+def test_lower_revision_is_never_put_in_force():
     async def main():
         node = _node(ManualClock())
         await node.propagation.put_in_force(_stored(5), source="store")
--- a/packages/magnoliagrade/magnoliagrade/node/tests/test_links.py
+++ b/packages/magnoliagrade/magnoliagrade/node/tests/test_links.py
@@ -2,7 +2,7 @@
 
 from magnoliagrade.clock import ManualClock
 from magnoliagrade.node import ConfigurationState, HandlerTable, LinkTable, run_link
-from magnoliagrade.node.links import HEARTBEAT_GAP_S
+from magnoliagrade.node.links import MAX_MESSAGE_GAP_S
 from magnoliagrade.wire import Hello
 
 
@@ -17,10 +17,10 @@
         self.is_closing = True
 
 
-def test_both_sides_keep_the_same_of_two_links():
-    for own, keeps_dialled in (("a", True), ("c", False)):
+def test_of_two_links_the_one_dialled_by_the_first_name_is_kept():
+    for own_name, keeps_dialled in (("a", True), ("c", False)):
         for first_dialled in (True, False):
-            table = LinkTable(clock=ManualClock(), own_name=own)
+            table = LinkTable(clock=ManualClock(), own_name=own_name)
             first = FakeLink(is_dialled=first_dialled)
             second = FakeLink(is_dialled=not first_dialled)
             table.add(first)
@@ -31,7 +31,7 @@
             assert {first.is_closing, second.is_closing} == {True, False}
 
 
-def test_newer_link_of_the_same_side_or_of_a_new_incarnation_wins():
+def test_link_dialled_again_or_by_a_new_incarnation_replaces_the_old_one():
     table = LinkTable(clock=ManualClock(), own_name="a")
     first = FakeLink(is_dialled=True)
     table.add(first)
@@ -41,11 +41,11 @@
     assert table.add(restarted) and again.is_closing
 
 
-def test_silent_link_gives_way():
+def test_link_without_messages_for_too_long_is_replaced():
     clock = ManualClock()
     table = LinkTable(clock=clock, own_name="a")
     table.add(FakeLink(is_dialled=True))
-    clock._time += HEARTBEAT_GAP_S + 0.1
+    clock._time += MAX_MESSAGE_GAP_S + 0.1
     assert table.add(FakeLink(is_dialled=False))
 
 
@@ -57,28 +57,28 @@
         raise ConnectionResetError
 
 
-class NodeBehind:
+class NodeWithOlderRevision:
     def __init__(self):
         clock = ManualClock()
         self.links = LinkTable(clock=clock, own_name="a")
         self.configuration = ConfigurationState(clock=clock)
-        self.asked = []
+        self.newer_revisions = []
 
-    def on_peer_ahead(self, link):
-        self.asked.append(link.peer_revision)
+    def on_newer_revision(self, link):
+        self.newer_revisions.append(link.peer_revision)
 
     def on_link_up(self, link):
-        assert not self.asked
+        assert not self.newer_revisions
 
     def on_link_down(self, link):
         pass
 
 
-def test_hello_of_a_peer_that_is_ahead_is_enough_to_ask():
-    node = NodeBehind()
+def test_newer_revision_in_the_hello_is_reported_before_any_message():
+    node = NodeWithOlderRevision()
     link = SilentLink(is_dialled=True)
     try:
         asyncio.run(run_link(node, link, HandlerTable()))
     except ConnectionResetError:
         pass
-    assert node.asked == [7]
+    assert node.newer_revisions == [7]
--- a/packages/magnoliagrade/magnoliagrade/platform/fields.py
+++ b/packages/magnoliagrade/magnoliagrade/platform/fields.py
@@ -1,4 +1,8 @@
-"""Type-checked access to the fields of the platform's JSON documents."""
+"""Type-checked access to the fields of the platform's JSON documents.
+
+A field that is missing and has no default, or whose value has another type, raises
+`FormatError`.
+"""
 
 import json
 
@@ -42,11 +46,7 @@
 
 
 def string_field(document, name, default=_MISSING):
-    """Return the value of a string field.
-
-    Without a default, this and the other functions here raise `FormatError` if the
-    field is missing; all of them raise it if its value has another type.
-    """
+    """Return the value of a string field."""
     return _field_of_type(document, name, str, default)
 
 
--- a/packages/magnoliagrade/magnoliagrade/store/client.py
+++ b/packages/magnoliagrade/magnoliagrade/store/client.py
@@ -14,7 +14,7 @@
 __all__ = ["HttpStore", "Store", "StoreConflict", "StoreUnavailable", "StoreValue"]
 
 CALL_TIMEOUT_S = 2.0
-# Configuration changes by operators are rare and bypass the call limiter.
+# Calls for configuration changes by operators, which are rare, bypass the limiter.
 PURPOSE_WITHOUT_LIMIT = "configuration"
 
 STORE_CALLS = Counter(
--- a/packages/magnoliagrade/magnoliagrade/store/limiter.py
+++ b/packages/magnoliagrade/magnoliagrade/store/limiter.py
@@ -21,9 +21,8 @@
 
     Notes
     -----
-    A call that would have to wait longer than `MAX_WAIT_S` is rejected
-    at once: its caller knows better than a queue whether the call is still useful
-    later.
+    A call that would have to wait longer than `MAX_WAIT_S` is rejected at once: its
+    caller knows better than a queue whether the call is still useful later.
     """
 
     __slots__ = ("_refilled_at", "_clock", "_calls_per_s", "_tokens")
