--- a/packages/magnoliagrade-entry/magnoliagrade_entry/requests/forwarded.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/requests/forwarded.py
@@ -72,9 +72,9 @@
             if sent is None:
                 return
             if is_not_run and request.forwarded_attempt in self._relayed_revocations:
-                self._attempts.undo(request.forwarded_attempt)
+                self._attempts.record_undelivered(request.forwarded_attempt)
             elif is_not_run:
-                self._attempts.forget(request.forwarded_attempt)
+                self._attempts.discard(request.forwarded_attempt)
 
     def revoke(self, link, attempt):
         """Revoke a peer entry's attempt and reply over the link."""
@@ -97,13 +97,13 @@
                 is_waiting_for_end=False,
             )
             if reply.never_started:
-                self._attempts.undo(attempt)
+                self._attempts.record_undelivered(attempt)
             self._reply(link, attempt, reply.never_started)
         finally:
             self._relayed_revocations.discard(attempt)
 
     def _reply(self, link, attempt, never_started):
-        reply = self._node.outcomes.answer(attempt, never_started=never_started)
+        reply = self._node.outcomes.revoke_reply(attempt, never_started=never_started)
         link.send(reply)
 
 
--- a/packages/magnoliagrade/magnoliagrade/node/tests/test_attempts.py
+++ b/packages/magnoliagrade/magnoliagrade/node/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""The table of attempts: starts, tombstones, what forgetting means."""
+"""Attempt table: starts, revocations and the effect of evictions."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -24,11 +24,11 @@
 def test_attempt_that_did_not_reach_the_endpoint_counts_as_never_started():
     table = AttemptTable()
     table.begin("e.1.1")
-    table.undo("e.1.1")
+    table.record_undelivered("e.1.1")
     assert table.revoke("e.1.1")
 
 
-def test_second_copy_is_refused():
+def test_second_begin_of_an_attempt_is_rejected():
     table = AttemptTable()
     table.begin("e.1.1")
     assert _kind(table, "e.1.1") is ErrorKind.OUTCOME_UNKNOWN
