--- a/packages/magnoliagrade-standins/magnoliagrade_standins/harness/calls.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/harness/calls.py
@@ -37,7 +37,7 @@
     body: dict = None
 
     @property
-    def is_whole(self):
+    def is_served(self):
         """Whether the call was answered by its back end."""
         return self.status == 200
 
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/operators/__init__.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/operators/__init__.py
@@ -5,12 +5,12 @@
     endpoint_document,
     route_document,
 )
-from magnoliagrade_standins.operators.endpoint import Behaviour, StandInEndpoint
+from magnoliagrade_standins.operators.endpoint import EndpointBehaviour, StandInEndpoint
 from magnoliagrade_standins.operators.site import OperatorsSite
 from magnoliagrade_standins.operators.store import OperatorsStore
 
 __all__ = [
-    "Behaviour",
+    "EndpointBehaviour",
     "OperatorsSite",
     "OperatorsStore",
     "StandInEndpoint",
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/operators/endpoint.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/operators/endpoint.py
@@ -8,14 +8,14 @@
 
 from magnoliagrade_standins.resets import reset_connection
 
-__all__ = ["Behaviour", "StandInEndpoint"]
+__all__ = ["EndpointBehaviour", "StandInEndpoint"]
 
 STAMP = "X-Magnoliagrade-Response-Stamp"
 REQUEST_ID = "X-Magnoliagrade-Request-Id"
 
 
 @dataclass(slots=True, kw_only=True)
-class Behaviour:
+class EndpointBehaviour:
     """How an endpoint behaves.
 
     Parameters
@@ -47,12 +47,12 @@
     ----------
     id : str
         Id of its incarnation.
-    behaviour : Behaviour
+    behaviour : EndpointBehaviour
         How it behaves.
     """
 
     id: str
-    behaviour: Behaviour = field(default_factory=Behaviour)
+    behaviour: EndpointBehaviour = field(default_factory=EndpointBehaviour)
     runs: list = field(default_factory=list)
     cancelled: list = field(default_factory=list)
     began_at: dict = field(default_factory=dict)
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/operators/site.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/operators/site.py
@@ -9,7 +9,7 @@
 from yarl import URL
 
 from magnoliagrade_standins.operators.documents import endpoint_document
-from magnoliagrade_standins.operators.endpoint import Behaviour, StandInEndpoint
+from magnoliagrade_standins.operators.endpoint import EndpointBehaviour, StandInEndpoint
 from magnoliagrade_standins.operators.store import OperatorsStore
 
 __all__ = ["OperatorsSite"]
@@ -56,9 +56,11 @@
         service : str
             Service.
         **fields
-            Fields of its `Behaviour`.
+            Fields of its `EndpointBehaviour`.
         """
-        endpoint = StandInEndpoint(id=endpoint_id, behaviour=Behaviour(**fields))
+        endpoint = StandInEndpoint(
+            id=endpoint_id, behaviour=EndpointBehaviour(**fields)
+        )
         runner = web.ServerRunner(
             web.Server(endpoint.handle, handler_cancellation=True),
             shutdown_timeout=0.1,
@@ -68,10 +70,10 @@
         self._runners.append(runner)
         port = runner.addresses[0][1]
         self.endpoint_by_id[endpoint_id] = endpoint
-        self.enter(endpoint_id, service, f"{HOST}:{port}")
+        self.register(endpoint_id, service, f"{HOST}:{port}")
         return endpoint
 
-    def enter(self, endpoint_id, service, address, **fields):
+    def register(self, endpoint_id, service, address, **fields):
         """Write a server's entry."""
         document = endpoint_document(service, address, **fields)
         self.store.put(f"servers/{endpoint_id}", document)
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/operators/store.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/operators/store.py
@@ -67,7 +67,7 @@
         self.revision += 1
         self._note({"Key": key, "Revision": self.revision, "Tombstone": True})
 
-    def forget_history(self):
+    def compact_history(self):
         """Drop all changes so far; watches from before get 410."""
         self._events.clear()
         self._oldest = self.revision
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/soak/faults.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/soak/faults.py
@@ -92,12 +92,12 @@
     site.store.outage = "deaf"
     await sleep(min(fault.for_s, DEAF_MAX_S))
     site.store.outage = ""
-    site.store.forget_history()
+    site.store.compact_history()
 
 
 @fault_kinds.register("store-forgets")
 async def _forget(site, _fault, _sleep):
-    site.store.forget_history()
+    site.store.compact_history()
 
 
 @fault_kinds.register("key-changed")
@@ -165,7 +165,7 @@
     endpoint = _endpoint(site, fault)
     former = endpoint.id
     endpoint.id = f"{former.rpartition('-')[0]}-{fault.target}"
-    site.enter(endpoint)
+    site.register(endpoint)
     await sleep(fault.for_s)
     if former != endpoint.id:
         site.store.delete(f"servers/{former}")
@@ -174,6 +174,6 @@
 @fault_kinds.register("endpoint-draining")
 async def _drain(site, fault, sleep):
     endpoint = _endpoint(site, fault)
-    site.enter(endpoint, state="draining")
+    site.register(endpoint, state="draining")
     await sleep(fault.for_s)
-    site.enter(endpoint)
+    site.register(endpoint)
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/soak/site.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/soak/site.py
@@ -6,7 +6,7 @@
 from magnoliagrade.clock import SystemClock
 
 from magnoliagrade_standins.operators import (
-    Behaviour,
+    EndpointBehaviour,
     OperatorsStore,
     StandInEndpoint,
     configuration_document,
@@ -95,7 +95,7 @@
         self.configure()
         self.removed_at_by_key[removed] = self.clock.monotonic()
 
-    def enter(self, endpoint, **fields):
+    def register(self, endpoint, **fields):
         """Write an endpoint's entry."""
         service = endpoint.id.partition("-")[0]
         document = endpoint_document(service, endpoint.address, **fields)
@@ -106,7 +106,7 @@
         self.proxy.set_rules([rule for rules in self.rules.values() for rule in rules])
 
     async def _add_endpoint(self, name, service):
-        endpoint = SoakEndpoint(id=name, behaviour=Behaviour())
+        endpoint = SoakEndpoint(id=name, behaviour=EndpointBehaviour())
         endpoint.target = name
         endpoint.behaviour.delay_s = DELAY_S
         endpoint.behaviour.events = EVENTS
@@ -115,7 +115,7 @@
         )
         endpoint.address = await self._serve(runner, name)
         self.endpoints.append(endpoint)
-        self.enter(endpoint)
+        self.register(endpoint)
 
     async def _serve(self, runner, target):
         await runner.setup()
--- a/tests/test_direct_path.py
+++ b/tests/test_direct_path.py
@@ -302,7 +302,7 @@
 def test_change_of_key_route_and_endpoint_is_in_force_without_a_restart():
     async def scenario(site, entry):
         site.configure(configuration_document(9, ROUTES[:1], keys=["key-2"]))
-        site.enter("plain-1", "plain", "127.0.0.1:9", state="draining")
+        site.register("plain-1", "plain", "127.0.0.1:9", state="draining")
         async with asyncio.timeout(5):
             while entry.knowledge.version != 9 or entry.places.places_of("plain"):
                 await asyncio.sleep(0.01)
@@ -319,7 +319,7 @@
         await asyncio.sleep(0.05)
         site.configure(configuration_document(11, ROUTES))
         site.store.delete("servers/plain-1")
-        site.store.forget_history()
+        site.store.compact_history()
         site.store.outage = ""
         async with asyncio.timeout(10):
             while entry.knowledge.version != 11 or entry.places.places_of("plain"):
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -41,7 +41,7 @@
             left_at = clock.monotonic()
             assert await site.agent_by_name["kamloops-service-0"].stop() == 0
             outcomes = await calls
-            assert [o for o in outcomes if not o.is_whole] == []
+            assert [o for o in outcomes if not o.is_served] == []
             late = left_at + NO_NEW_WORK_AFTER_S
             assert await _executions_after(site, "kamloops-service-0", late) == []
             assert await _executions_after(site, "kamloops-service-1", left_at)
@@ -62,7 +62,7 @@
             outcomes = await call_until(
                 site, clock, until, entries=list(site.entry_by_name)
             )
-            assert [o for o in outcomes if not o.is_whole] == []
+            assert [o for o in outcomes if not o.is_served] == []
             late = left_at + NO_NEW_WORK_AFTER_S
             assert await _executions_after(site, "kamloops-service-0", late) == []
 
@@ -93,7 +93,7 @@
             outcomes = await call_until(
                 site, clock, until, entries=list(site.entry_by_name)
             )
-            assert [o for o in outcomes if not o.is_whole] == []
+            assert [o for o in outcomes if not o.is_served] == []
             late = out_at + NO_NEW_WORK_AFTER_S
             for name in ("kamloops-service-0", "kamloops-service-1"):
                 assert await _executions_after(site, name, late) == []
@@ -125,7 +125,7 @@
             for name in ("kamloops-service-0", "kamloops-service-1"):
                 assert await _executions_after(site, name, late) == []
                 ran += len((await site.record(name))["executions"])
-            assert ran == len([o for o in outcomes if o.is_whole])
-            assert {o.ran for o in outcomes if not o.is_whole} <= {"no"}
+            assert ran == len([o for o in outcomes if o.is_served])
+            assert {o.ran for o in outcomes if not o.is_served} <= {"no"}
 
     asyncio.run(main())
--- a/tests/test_partitions.py
+++ b/tests/test_partitions.py
@@ -47,7 +47,7 @@
             until = clock.monotonic() + 2
             entries = list(site.entry_by_name)
             outcomes = await call_until(site, clock, until, entries=entries)
-            assert [o for o in outcomes if not o.is_whole] == []
+            assert [o for o in outcomes if not o.is_served] == []
             await _wait_for_peers(site, clock, "kamloops-entry-0", set())
             await _wait_for_peers(site, clock, "kelowna-entry-0", {"vernon"})
             await site.set_rules()
@@ -74,7 +74,7 @@
             await _wait_for_peers(site, clock, "kamloops-entry-0", expected)
             await site.agent_by_name["kamloops-service-0"].stop()
             outcome = await call_service(site, "kamloops-entry-0")
-            assert outcome.is_whole
+            assert outcome.is_served
             record = await site.record("vernon-service-0")
             assert [e["id"] for e in record["executions"]] == [outcome.request_id]
 
@@ -93,7 +93,7 @@
             while not (await site.record("kamloops-service-0"))["executions"]:
                 assert clock.monotonic() < limit
                 outcome = await call_service(site, "kamloops-entry-0")
-                assert outcome.is_whole or outcome.ran == "no"
+                assert outcome.is_served or outcome.ran == "no"
                 await clock.sleep(0.1)
 
     asyncio.run(main())
