--- a/packages/magnoliagrade-standins/magnoliagrade_standins/operators/__init__.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/operators/__init__.py
@@ -1,4 +1,7 @@
-"""Stand-ins of the operators' platform: its store and its servers."""
+"""Stand-ins for the operators' platform: its store and its endpoints.
+
+They run in one event loop, together with the entries under test.
+"""
 
 from magnoliagrade_standins.operators.documents import (
     configuration_document,
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/operators/documents.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/operators/documents.py
@@ -1,21 +1,21 @@
-"""Documents that operators and servers write to the platform's store."""
+"""Documents that operators and endpoints write to the platform's store."""
 
 __all__ = ["configuration_document", "endpoint_document", "route_document"]
 
 
 def route_document(prefix, service, *, kind="safe", **fields):
-    """Return a route of the host `a.example`.
+    """Return the document of a route for the host `a.example`.
 
     Parameters
     ----------
     prefix : str
         Path prefix.
     service : str
-        Service.
+        Name of the service that receives the route's requests.
     kind : str
-        `safe`, `unsafe` or `streaming`.
+        `safe`, `unsafe` or `streaming`; unsafe requests get a single attempt.
     **fields
-        Fields that differ from the usual ones.
+        Fields of the document that replace the defaults.
     """
     document = {
         "Name": f"route {prefix}",
@@ -35,16 +35,16 @@
 
 
 def configuration_document(version, routes, *, keys=("key-1",)):
-    """Return a whole configuration with one organisation, `org-1`.
+    """Return a complete configuration with one organisation, `org-1`.
 
     Parameters
     ----------
     version : int
-        Version.
+        Version of the configuration.
     routes : list of dict
-        Routes.
+        Routes, as `route_document` returns them.
     keys : sequence of str
-        The organisation's keys.
+        API keys of the organisation.
     """
     services = sorted({route["Service"] for route in routes})
     return {
@@ -64,7 +64,7 @@
 
 
 def endpoint_document(service, address, *, zone="dc-1", state="ready", slots=6):
-    """Return the entry that a server writes of itself."""
+    """Return the document with which an endpoint registers itself in the store."""
     return {
         "Service": service,
         "Address": address,
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/operators/endpoint.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/operators/endpoint.py
@@ -1,4 +1,4 @@
-"""Stand-in of a server: plain answers and streams, with faults."""
+"""Stand-in for an endpoint: plain responses and event streams, with faults."""
 
 import asyncio
 import time
@@ -10,27 +10,30 @@
 
 __all__ = ["EndpointBehaviour", "StandInEndpoint"]
 
-STAMP = "X-Magnoliagrade-Response-Stamp"
-REQUEST_ID = "X-Magnoliagrade-Request-Id"
+STAMP_HEADER = "X-Magnoliagrade-Response-Stamp"
+REQUEST_ID_HEADER = "X-Magnoliagrade-Request-Id"
 
 
 @dataclass(slots=True, kw_only=True)
 class EndpointBehaviour:
-    """How an endpoint behaves.
+    """Fault and timing of a stand-in endpoint; may be changed while it runs.
 
     Parameters
     ----------
     fault : str
-        Empty, or one of `busy` (503, not run), `broken-group` (503, another rank at
-        fault), `error` (500), `reset` (cut without an answer), `cut-body` (an answer
-        without a length is reset), `other-answer` (the answer of another request),
-        `hang` (no answer) and `cut-stream` (cut inside an event).
+        Empty for none, or one of `busy` (503, request not executed), `broken-group`
+        (503, not executed, names another rank as the cause), `error` (500), `reset`
+        (connection reset without a response), `cut-body` (connection reset within a
+        response that has no content length), `other-answer` (response with the id of
+        another request), `hang` (no response) and `cut-stream` (connection reset
+        within an event).
     delay_s : float
-        Work of a plain request, and pause between events.
+        Processing time of a plain request and interval between the events of a
+        stream, in seconds.
     events : int
-        Events of a stream.
+        Number of events of a stream.
     cut_after : int
-        Events before a stream is cut.
+        Number of complete events that `cut-stream` sends on a connection.
     """
 
     fault: str = ""
@@ -41,14 +44,25 @@
 
 @dataclass(slots=True, kw_only=True)
 class StandInEndpoint:
-    """A server that keeps a record of what it ran.
+    """Stand-in for an endpoint that records the requests that it executed.
 
     Parameters
     ----------
     id : str
-        Id of its incarnation.
+        Id of this incarnation of the endpoint; requests that expect another id get
+        status 421.
     behaviour : EndpointBehaviour
-        How it behaves.
+        Fault and timing.
+    runs : list of str
+        Ids of the requests that it began to execute, once for each execution.
+    cancelled : list of str
+        Ids of the requests whose caller disconnected during the execution.
+    began_at : dict of str to float
+        Monotonic time of the latest execution's start, by request id.
+    headers_seen : list of CIMultiDict
+        Headers of each request received, except requests for reports.
+    reports : int
+        Number of group state reports that were requested from it.
     """
 
     id: str
@@ -60,18 +74,18 @@
     reports: int = 0
 
     async def handle(self, request):
-        """Serve a request."""
+        """Respond to a request, or inject the current fault."""
         if request.path == "/report":
-            return self._report()
+            return self._report_group()
         self.headers_seen.append(request.headers.copy())
-        request_id = request.headers.get(REQUEST_ID, "")
-        expected = request.headers.get("X-Magnoliagrade-Expect-Instance")
-        if expected != self.id:
+        request_id = request.headers.get(REQUEST_ID_HEADER, "")
+        expected_id = request.headers.get("X-Magnoliagrade-Expect-Instance")
+        if expected_id != self.id:
             return web.Response(status=421)
         fault = self.behaviour.fault
         if fault in ("busy", "broken-group"):
-            at_fault = "other" if fault == "broken-group" else self.id
-            headers = {"X-Magnoliagrade-Not-Executed": "1", "At-Server": at_fault}
+            causing_server = "other" if fault == "broken-group" else self.id
+            headers = {"X-Magnoliagrade-Not-Executed": "1", "At-Server": causing_server}
             return web.Response(status=503, headers=headers)
         self.runs.append(request_id)
         self.began_at[request_id] = time.monotonic()
@@ -81,7 +95,7 @@
             self.cancelled.append(request_id)
             raise
 
-    def _report(self):
+    def _report_group(self):
         self.reports += 1
         is_broken = self.behaviour.fault == "broken-group"
         state = "broken" if is_broken else "open"
@@ -94,10 +108,13 @@
         if fault == "reset":
             request.transport.abort()
             return web.Response()
-        own_id = self.id
-        headers = {REQUEST_ID: request_id, STAMP: f"stamp of {own_id}"}
+        endpoint_id = self.id
+        headers = {
+            REQUEST_ID_HEADER: request_id,
+            STAMP_HEADER: f"stamp of {endpoint_id}",
+        }
         if fault == "other-answer":
-            headers[REQUEST_ID] = "another"
+            headers[REQUEST_ID_HEADER] = "another"
         if "stream" in request.path:
             return await self._stream(request, headers, fault)
         await asyncio.sleep(self.behaviour.delay_s)
@@ -105,29 +122,34 @@
             return await self._cut_body(request, headers)
         status = 500 if fault == "error" else 200
         body = await request.read()
-        text = f"{request.method} {request.path_qs} {body.decode()} by {own_id}"
+        text = f"{request.method} {request.path_qs} {body.decode()} by {endpoint_id}"
         return web.Response(status=status, headers=headers, text=text)
 
     async def _stream(self, request, headers, fault):
         headers["Content-Type"] = "text/event-stream"
         response = web.StreamResponse(headers=headers)
         await response.prepare(request)
-        first = int(request.headers.get("Last-Event-Id") or 0) + 1
-        for number in range(first, self.behaviour.events + 1):
+        first_id = int(request.headers.get("Last-Event-Id") or 0) + 1
+        for event_id in range(first_id, self.behaviour.events + 1):
             await asyncio.sleep(self.behaviour.delay_s)
-            if fault == "cut-stream" and number - first >= self.behaviour.cut_after:
-                await response.write(f"id: {number}\nda".encode())
+            if (
+                fault == "cut-stream"
+                and event_id - first_id >= self.behaviour.cut_after
+            ):
+                await response.write(f"id: {event_id}\nda".encode())
                 await asyncio.sleep(0.02)
                 request.transport.abort()
                 return response
-            await response.write(f"id: {number}\ndata: {number}\n\n".encode())
+            await response.write(f"id: {event_id}\ndata: {event_id}\n\n".encode())
         await response.write_eof()
         return response
 
     async def _cut_body(self, request, headers):
         transport = request.transport
-        lines = [f"{name}: {value}" for name, value in headers.items()]
-        head = "\r\n".join(["HTTP/1.1 200 OK", *lines, "Connection: close", "", ""])
+        header_lines = [f"{name}: {value}" for name, value in headers.items()]
+        head = "\r\n".join(
+            ["HTTP/1.1 200 OK", *header_lines, "Connection: close", "", ""]
+        )
         transport.write(head.encode() + b"half of the bo")
         await asyncio.sleep(0.02)
         reset_connection(transport)
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/operators/site.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/operators/site.py
@@ -1,4 +1,4 @@
-"""A whole site on loopback: store, servers and entries in one event loop."""
+"""A complete site on loopback: store, endpoints and entries in one event loop."""
 
 import asyncio
 import contextlib
@@ -14,12 +14,12 @@
 
 __all__ = ["OperatorsSite"]
 
-READY_WAIT_S = 10.0
+READY_TIMEOUT_S = 10.0
 HOST = "127.0.0.1"
 
 
 class OperatorsSite:
-    """Stand-ins and entries that run while the context is open."""
+    """Stand-ins and entries of a site; use as an asynchronous context manager."""
 
     def __init__(self):
         self.store = OperatorsStore()
@@ -38,7 +38,7 @@
         return self
 
     async def __aexit__(self, *_exc):
-        """Stop everything."""
+        """Stop the entries, the endpoints and the store."""
         await self._session.close()
         for entry in self.entries:
             with contextlib.suppress(Exception):
@@ -47,16 +47,21 @@
             await runner.cleanup()
 
     async def add_endpoint(self, endpoint_id, service, **fields):
-        """Start a server and enter it in the store.
+        """Start an endpoint and register it in the store.
 
         Parameters
         ----------
         endpoint_id : str
-            Id.
+            Id of the endpoint's incarnation.
         service : str
-            Service.
+            Service that it belongs to.
         **fields
             Fields of its `EndpointBehaviour`.
+
+        Returns
+        -------
+        endpoint : StandInEndpoint
+            The running endpoint.
         """
         endpoint = StandInEndpoint(
             id=endpoint_id, behaviour=EndpointBehaviour(**fields)
@@ -74,16 +79,41 @@
         return endpoint
 
     def register(self, endpoint_id, service, address, **fields):
-        """Write a server's entry."""
+        """Write an endpoint's registration to the store.
+
+        Parameters
+        ----------
+        endpoint_id : str
+            Id of the endpoint's incarnation.
+        service : str
+            Service that it belongs to.
+        address : str
+            `host:port` that it listens on.
+        **fields
+            Further arguments of `endpoint_document`.
+        """
         document = endpoint_document(service, address, **fields)
         self.store.put(f"servers/{endpoint_id}", document)
 
     def configure(self, document):
-        """Write the operators' configuration."""
+        """Write the operators' configuration to the store."""
         self.store.put("op/config", document)
 
     async def add_entry(self, *, awaits_ready=True, **fields):
-        """Start an entry and, unless told otherwise, wait until it is ready."""
+        """Start an entry and return it.
+
+        Parameters
+        ----------
+        awaits_ready : bool
+            Whether to wait until the entry is ready and knows every endpoint.
+        **fields
+            Fields of its `DirectSettings` that replace the defaults.
+
+        Raises
+        ------
+        TimeoutError
+            If it is not ready within 10 s.
+        """
         settings = DirectSettings(
             name=f"entry-{len(self.entries)}",
             data_centre="dc-1",
@@ -99,7 +129,7 @@
         self.entries.append(entry)
         if not awaits_ready:
             return entry
-        async with asyncio.timeout(READY_WAIT_S):
+        async with asyncio.timeout(READY_TIMEOUT_S):
             while entry.reasons_not_ready() or len(entry.places.by_id) < len(
                 self.endpoint_by_id
             ):
@@ -107,12 +137,12 @@
         return entry
 
     async def call(self, entry, method, path, *, key="key-1", deadline_ms=3000, **more):
-        """Send a request to an entry; returns status, headers and body.
+        """Send a request to an entry and return its status, headers and body.
 
         Raises
         ------
         aiohttp.ClientError
-            If the answer is not whole.
+            If the response is not complete.
         """
         headers = {
             "Host": "a.example",
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/operators/store.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/operators/store.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's store: items, leases and watches, with outages."""
+"""Stand-in for the platform's store: items, leases and watches, with outages."""
 
 import asyncio
 import base64
@@ -10,24 +10,26 @@
 
 
 class OperatorsStore:
-    """Store in memory that speaks the platform's protocol.
+    """In-memory store that serves the platform's HTTP protocol.
 
     Parameters
     ----------
     page_size : int
-        Items of a page.
+        Largest number of items in one page of a range response.
 
     Notes
     -----
-    `outage` makes it misbehave: `busy` answers 503, `silent` answers nothing, `deaf`
-    lets watches hear nothing: their answers are empty and stay at the same revision.
+    `calls` lists the path of each request. `outage` sets a fault: with `busy` each call
+    gets status 503, with `silent` no response, and with `deaf` watches receive no
+    events: their responses are empty and stay at the revision that the call named. An
+    empty `outage` ends the fault.
     """
 
     def __init__(self, *, page_size=50):
         self._page_size = page_size
         self._changed = asyncio.Event()
         self._events = []
-        self._oldest = 0
+        self._compacted_revision = 0
         self.calls = []
         self.item_by_key = {}
         self.keys_by_lease = {}
@@ -35,19 +37,29 @@
         self.revision = 1
 
     def routes(self):
-        """Return the routes of the store's protocol."""
+        """Return the HTTP routes of the store's protocol."""
         return [
-            web.get("/kv-key", self._guarded(self._get)),
-            web.get("/kv-range", self._guarded(self._range)),
-            web.get("/kv-watch", self._guarded(self._watch)),
-            web.post("/kv-txn", self._guarded(self._txn)),
-            web.post("/kv-lease", self._guarded(self._grant)),
-            web.post("/kv-keep/{lease}", self._guarded(self._keep)),
-            web.delete("/kv-lease-end/{lease}", self._guarded(self._end)),
+            web.get("/kv-key", self._with_outage(self._get_item)),
+            web.get("/kv-range", self._with_outage(self._list_items)),
+            web.get("/kv-watch", self._with_outage(self._watch_prefix)),
+            web.post("/kv-txn", self._with_outage(self._commit_transaction)),
+            web.post("/kv-lease", self._with_outage(self._grant_lease)),
+            web.post("/kv-keep/{lease}", self._with_outage(self._renew_lease)),
+            web.delete("/kv-lease-end/{lease}", self._with_outage(self._end_lease)),
         ]
 
     def put(self, key, document, *, lease=0):
-        """Write a document, or bytes as they are."""
+        """Write a value under a key and notify watches.
+
+        Parameters
+        ----------
+        key : str
+            Key.
+        document : object or bytes
+            Value; bytes are written unchanged, anything else as JSON.
+        lease : int
+            Lease that the item names; 0 for none.
+        """
         value = document if isinstance(document, bytes) else _encode(document)
         self.revision += 1
         item = {
@@ -58,27 +70,27 @@
             "Lease": lease,
         }
         self.item_by_key[key] = item
-        self._note(item)
+        self._record_event(item)
 
     def delete(self, key):
-        """Delete a key."""
+        """Delete a key and notify watches; a missing key is ignored."""
         if self.item_by_key.pop(key, None) is None:
             return
         self.revision += 1
-        self._note({"Key": key, "Revision": self.revision, "Tombstone": True})
+        self._record_event({"Key": key, "Revision": self.revision, "Tombstone": True})
 
     def compact_history(self):
-        """Drop all changes so far; watches from before get 410."""
+        """Drop the events so far; watches from an older revision get status 410."""
         self._events.clear()
-        self._oldest = self.revision
+        self._compacted_revision = self.revision
 
-    def _note(self, event):
+    def _record_event(self, event):
         self._events.append(event)
         self._changed.set()
         self._changed = asyncio.Event()
 
-    def _guarded(self, handle):
-        async def guarded(request):
+    def _with_outage(self, handle):
+        async def handle_with_outage(request):
             self.calls.append(request.path)
             if self.outage == "busy":
                 return web.Response(status=503)
@@ -86,15 +98,15 @@
                 await asyncio.sleep(3600)
             return await handle(request)
 
-        return guarded
+        return handle_with_outage
 
-    async def _get(self, request):
+    async def _get_item(self, request):
         item = self.item_by_key.get(request.query["Key"])
         if item is None:
             return web.Response(status=404)
         return web.json_response({**item, "AsOf": self.revision})
 
-    async def _range(self, request):
+    async def _list_items(self, request):
         prefix, after = request.query["Prefix"], request.query.get("After", "")
         keys = sorted(k for k in self.item_by_key if k.startswith(prefix) and k > after)
         page = keys[: self._page_size]
@@ -106,38 +118,38 @@
             }
         )
 
-    async def _watch(self, request):
+    async def _watch_prefix(self, request):
         prefix, after = request.query["Prefix"], int(request.query["After"])
         ends_at = asyncio.get_running_loop().time() + int(request.query["WaitMs"]) / 1e3
         while True:
-            if after < self._oldest:
+            if after < self._compacted_revision:
                 return web.Response(status=410)
             events = [
                 event
                 for event in self._events
                 if event["Revision"] > after and event["Key"].startswith(prefix)
             ]
-            left = ends_at - asyncio.get_running_loop().time()
+            remaining_s = ends_at - asyncio.get_running_loop().time()
             if self.outage == "deaf":
                 events = []
-            if events or left <= 0:
+            if events or remaining_s <= 0:
                 as_of = self.revision if events else after
                 return web.json_response({"events": events, "AsOf": as_of})
             try:
-                await asyncio.wait_for(self._changed.wait(), left)
+                await asyncio.wait_for(self._changed.wait(), remaining_s)
             except TimeoutError:
                 continue
 
-    async def _txn(self, request):
+    async def _commit_transaction(self, request):
         body = await request.json()
-        failed = [
+        conflicting_keys = [
             row["Key"]
             for row in body["Precondition"]
             if self.item_by_key.get(row["Key"], {}).get("Revision", 0)
             != row["Revision"]
         ]
-        if failed:
-            items = [self.item_by_key.get(key) for key in failed]
+        if conflicting_keys:
+            items = [self.item_by_key.get(key) for key in conflicting_keys]
             return web.json_response({"Items": items}, status=412)
         for row in body["Writes"]:
             lease = row.get("Lease", 0)
@@ -149,18 +161,18 @@
             self.delete(key)
         return web.json_response({"Revision": self.revision})
 
-    async def _grant(self, request):
+    async def _grant_lease(self, request):
         body = await request.json()
         lease = len(self.keys_by_lease) + 1
         self.keys_by_lease[lease] = set()
         return web.json_response({"Lease": lease, "TtlMs": body["TtlMs"]})
 
-    async def _keep(self, request):
+    async def _renew_lease(self, request):
         if int(request.match_info["lease"]) not in self.keys_by_lease:
             return web.Response(status=404)
         return web.json_response({"TtlMs": 10000})
 
-    async def _end(self, request):
+    async def _end_lease(self, request):
         for key in self.keys_by_lease.pop(int(request.match_info["lease"]), ()):
             self.delete(key)
         return web.json_response({})
