--- a/packages/magnoliagrade-standins/magnoliagrade_standins/soak/run.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/soak/run.py
@@ -4,10 +4,10 @@
 from collections import Counter
 
 from magnoliagrade_standins.soak.callers import SoakCaller
+from magnoliagrade_standins.soak.checks import Finding, SoakReport, check_calls
 from magnoliagrade_standins.soak.faults import strike
 from magnoliagrade_standins.soak.plan import draw_faults, fault_kinds
 from magnoliagrade_standins.soak.site import SoakSite
-from magnoliagrade_standins.soak.verdicts import Finding, SoakReport, check_calls
 
 __all__ = ["run_soak"]
 
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/soak/tests/test_soak.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/soak/tests/test_soak.py
@@ -5,7 +5,7 @@
 
 from magnoliagrade_standins.soak import SoakPlan, run_soak
 from magnoliagrade_standins.soak.callers import SoakCall
-from magnoliagrade_standins.soak.verdicts import WHOLE_STREAM, check_calls
+from magnoliagrade_standins.soak.checks import WHOLE_STREAM, check_calls
 
 # How much is served in time says nothing on a busy machine; these hold on any.
 SAFETY = {
