--- a/packages/magnoliagrade-standins/magnoliagrade_standins/soak/__init__.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/soak/__init__.py
@@ -1,4 +1,8 @@
-"""Soak: direct entries as processes, random faults from outside, promises checked."""
+"""Soak tests: direct entries run as processes while random faults are injected.
+
+Callers record each response, and the checks compare the records with the promises
+that the entries make to callers.
+"""
 
 from magnoliagrade_standins.soak.checks import Finding, SoakReport
 from magnoliagrade_standins.soak.command import soak_command
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/soak/callers.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers of a soak: what they sent and what came of it."""
+"""Callers of a soak, which record their requests and the responses."""
 
 import asyncio
 import random
@@ -9,17 +9,39 @@
 
 __all__ = ["SoakCaller", "SoakCall"]
 
-REQUEST_ID = "X-Magnoliagrade-Request-Id"
-STAMP = "X-Magnoliagrade-Response-Stamp"
+REQUEST_ID_HEADER = "X-Magnoliagrade-Request-Id"
+STAMP_HEADER = "X-Magnoliagrade-Response-Stamp"
 DEADLINE_MS = 3000
-# Beyond its deadline a caller gives up.
-GIVE_UP_S = 5.0
-PAUSE_S = 0.05
+# Longer than the deadline that callers send, so that the entry ends a request first.
+CALL_TIMEOUT_S = 5.0
+MEAN_PAUSE_S = 0.05
 
 
 @dataclass(slots=True, kw_only=True)
 class SoakCall:
-    """One request and its answer; a status of 0 means that there was no whole one."""
+    """One request and its response.
+
+    Parameters
+    ----------
+    id : str
+        Request id.
+    kind : str
+        `look` (safe), `order` (unsafe) or `stream`.
+    key : str
+        API key of the organisation.
+    body : str
+        Body of the request; not sent with `look`.
+    sent_at : float
+        Monotonic time at which it was sent, in seconds.
+    status : int
+        HTTP status; 0 if no complete response arrived.
+    response_id : str
+        Request id in the response's headers.
+    stamp : str
+        Stamp in the response's headers, which names the endpoint.
+    text : str
+        Body of the response.
+    """
 
     id: str
     kind: str
@@ -27,20 +49,20 @@
     body: str
     sent_at: float
     status: int = 0
-    answer_id: str = ""
+    response_id: str = ""
     stamp: str = ""
     text: str = ""
 
 
 class SoakCaller:
-    """One caller, who keeps connections open and sends one request after the other.
+    """Caller that keeps connections open and sends one request at a time.
 
     Parameters
     ----------
     site : SoakSite
-        Where requests go.
+        Site whose entries receive the requests.
     number : int
-        Number of the caller.
+        Number of the caller; part of its request ids and of its random seed.
     """
 
     __slots__ = ("_number", "_rng", "_site", "calls")
@@ -52,14 +74,14 @@
         self.calls = []
 
     async def run(self, ends_at):
-        """Send requests until a time."""
-        timeout = aiohttp.ClientTimeout(total=GIVE_UP_S)
+        """Send requests until a monotonic time, with random pauses in between."""
+        timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while self._site.clock.monotonic() < ends_at:
-                await self._call(session)
-                await asyncio.sleep(self._rng.uniform(0, 2 * PAUSE_S))
+                await self._send_request(session)
+                await asyncio.sleep(self._rng.uniform(0, 2 * MEAN_PAUSE_S))
 
-    async def _call(self, session):
+    async def _send_request(self, session):
         site, rng = self._site, self._rng
         kind = rng.choice(("look", "order", "stream"))
         number = len(self.calls)
@@ -76,7 +98,7 @@
             "Host": "a.example",
             "Authorization": f"Bearer {call.key}",
             "X-Magnoliagrade-Deadline-Ms": str(DEADLINE_MS),
-            REQUEST_ID: call.id,
+            REQUEST_ID_HEADER: call.id,
         }
         url = URL(f"http://{entry.caller_address}/{kind}/{number}", encoded=True)
         method = "GET" if kind == "look" else "POST"
@@ -87,9 +109,9 @@
             ) as response:
                 text = await response.text()
         except (aiohttp.ClientError, OSError, TimeoutError):
-            # No whole answer: the product promises nothing about such a call.
+            # Without a complete response no promise about the response can be checked.
             return
         call.status = response.status
-        call.answer_id = response.headers.get(REQUEST_ID, "")
-        call.stamp = response.headers.get(STAMP, "")
+        call.response_id = response.headers.get(REQUEST_ID_HEADER, "")
+        call.stamp = response.headers.get(STAMP_HEADER, "")
         call.text = text
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/soak/command.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/soak/command.py
@@ -1,4 +1,4 @@
-"""The command that runs soaks, one seed after the other."""
+"""Command that runs soaks for consecutive seeds."""
 
 import asyncio
 import dataclasses
@@ -11,29 +11,29 @@
 __all__ = ["soak_command"]
 
 
-def soak_command(*, seeds=1, seed=1, regressions=False, **sizes):
-    """Run soaks with seeds in a row; print a line for each and return the exit code.
+def soak_command(*, seeds=1, seed=1, regressions=False, **plan_fields):
+    """Run soaks for consecutive seeds, print JSON lines and return the exit code.
 
     Parameters
     ----------
     seeds : int
         Number of seeds.
     seed : int
-        The first one.
+        First seed.
     regressions : bool
-        Whether to run the soaks that once found something instead.
-    **sizes
-        Further fields of `SoakPlan`.
+        Whether to run the plans in `REGRESSIONS` instead.
+    **plan_fields
+        Other fields of `SoakPlan`; not used for regressions.
 
     Returns
     -------
     code : int
-        1 if a promise was broken.
+        1 if a soak has findings, otherwise 0.
     """
     if regressions:
         plans = [regression.plan for regression in REGRESSIONS]
     else:
-        plans = [SoakPlan(seed=n, **sizes) for n in range(seed, seed + seeds)]
+        plans = [SoakPlan(seed=n, **plan_fields) for n in range(seed, seed + seeds)]
     has_findings = False
     for plan in plans:
         report = asyncio.run(run_soak(plan))
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/soak/plan.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/soak/plan.py
@@ -1,4 +1,4 @@
-"""What a soak does: its sizes, and the faults that a seed draws."""
+"""Plan of a soak, and the random faults that follow from its seed."""
 
 import random
 from dataclasses import dataclass
@@ -7,34 +7,35 @@
 
 __all__ = ["Fault", "SoakPlan", "draw_faults", "fault_kinds"]
 
-# Faults end this long before the end, so that recovery is seen.
-CALM_END_S = 4.0
-# Nothing happens before every entry has served.
-CALM_START_S = 1.0
-# Lengths of faults: shorter and longer than leases, watches and the bound on keys.
-SHORTEST_S, LONGEST_S = 0.2, 4.0
+# All faults end this long before the load ends, so that recovery can be checked.
+FAULT_FREE_END_S = 4.0
+# No fault begins this early, so that the entries serve requests first.
+FAULT_FREE_START_S = 1.0
+# Range of durations: shorter as well as longer than leases, watches and the bound on
+# removed keys.
+MIN_FAULT_S, MAX_FAULT_S = 0.2, 4.0
 
 fault_kinds = Registry(family="soak fault")
 
 
 @dataclass(slots=True, kw_only=True)
 class SoakPlan:
-    """Sizes of one soak.
+    """Size, load and fault rate of one soak.
 
     Parameters
     ----------
     seed : int
-        Seed of all faults and requests.
+        Seed of the random number generators for faults and requests.
     duration_s : float
-        Length of the load in seconds.
+        Duration of the load in seconds.
     entries, plain, models : int
-        Entries, endpoints of the plain service and model endpoints.
+        Number of entries, of endpoints of the plain service, and of model endpoints.
     callers : int
-        Callers who send one request after the other.
+        Number of callers, each with one request at a time.
     faults_per_s : float
-        Faults that begin a second; they overlap.
+        Mean number of faults that begin in a second; faults may overlap.
     revoke_ms : float
-        Bound on keys that were taken away, in milliseconds.
+        Time after which a removed key must be rejected, in milliseconds.
     """
 
     seed: int = 1
@@ -49,23 +50,35 @@
 
 @dataclass(slots=True, kw_only=True)
 class Fault:
-    """One fault: its kind, when it begins, how long it lasts, and whom it strikes."""
+    """One fault to inject.
+
+    Parameters
+    ----------
+    kind : str
+        Name in `fault_kinds`.
+    start_s : float
+        Time from the start of the load, in seconds.
+    duration_s : float
+        Duration in seconds.
+    target : int
+        Random number that selects the entry or endpoint, modulo their number.
+    """
 
     kind: str
-    at_s: float
-    for_s: float
+    start_s: float
+    duration_s: float
     target: int
 
 
 def draw_faults(plan, kinds):
-    """Return the faults of a plan, in the order of their beginnings.
+    """Return the random faults of a plan, ordered by start time.
 
     Parameters
     ----------
     plan : SoakPlan
-        The plan.
+        Plan whose seed, duration and fault rate are used.
     kinds : list of str
-        Kinds to draw from.
+        Kinds of faults to choose from.
 
     Examples
     --------
@@ -73,23 +86,23 @@
     >>> faults = draw_faults(plan, ["a", "b"])
     >>> faults == draw_faults(plan, ["a", "b"])
     True
-    >>> all(fault.at_s + fault.for_s <= 6.0 for fault in faults)
+    >>> all(fault.start_s + fault.duration_s <= 6.0 for fault in faults)
     True
     """
     rng = random.Random(plan.seed)
-    ends_s = plan.duration_s - CALM_END_S
+    end_s = plan.duration_s - FAULT_FREE_END_S
     faults = []
-    at_s = CALM_START_S
+    start_s = FAULT_FREE_START_S
     while True:
-        at_s += rng.expovariate(plan.faults_per_s)
-        if at_s + SHORTEST_S >= ends_s:
+        start_s += rng.expovariate(plan.faults_per_s)
+        if start_s + MIN_FAULT_S >= end_s:
             return faults
-        for_s = min(rng.uniform(SHORTEST_S, LONGEST_S), ends_s - at_s)
+        duration_s = min(rng.uniform(MIN_FAULT_S, MAX_FAULT_S), end_s - start_s)
         faults.append(
             Fault(
                 kind=rng.choice(kinds),
-                at_s=at_s,
-                for_s=for_s,
+                start_s=start_s,
+                duration_s=duration_s,
                 target=rng.randrange(1000),
             )
         )
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/soak/processes.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/soak/processes.py
@@ -1,4 +1,4 @@
-"""Entries of a soak as processes with addresses of their own on loopback."""
+"""Entry processes of a soak, each with its own loopback address."""
 
 import asyncio
 import os
@@ -8,7 +8,7 @@
 
 __all__ = ["EntryProcess"]
 
-SETTINGS = """
+SETTINGS_TEMPLATE = """
 [instance]
 name = {name}
 data_centre = dc-1
@@ -31,18 +31,18 @@
 
 
 class EntryProcess:
-    """One entry that is started, signalled and started again.
+    """One direct entry as a process that can be signalled and restarted.
 
     Parameters
     ----------
     number : int
-        Number of the entry; it has the loopback address 127.77.0.N.
+        Number of the entry, from 0; its loopback address is 127.77.0.(number + 1).
     folder : str
-        Folder for its settings and logs.
+        Folder for its settings file and log file.
     store_address : str
         `host:port` of the store, as this entry reaches it.
     revoke_ms : float
-        Bound on keys that were taken away.
+        Time after which a removed key must be rejected, in milliseconds.
     """
 
     __slots__ = ("_log_path", "_path", "caller_address", "host", "process")
@@ -59,7 +59,7 @@
         self.caller_address = addresses["caller"]
         with open(self._path, "w", encoding="utf-8") as file:
             file.write(
-                SETTINGS.format(
+                SETTINGS_TEMPLATE.format(
                     name=f"entry-{number}",
                     host=self.host,
                     store=store_address,
@@ -74,7 +74,7 @@
         return self.process is None or self.process.returncode is not None
 
     async def start(self):
-        """Start the process unless it runs."""
+        """Start the process unless it is running."""
         if not self.has_ended:
             return
         with open(self._log_path, "ab") as log:
@@ -88,18 +88,18 @@
                 start_new_session=True,
             )
 
-    def send(self, number):
-        """Send a signal if the process runs."""
+    def send(self, signal_number):
+        """Send a signal if the process is running."""
         if not self.has_ended:
-            self.process.send_signal(number)
+            self.process.send_signal(signal_number)
 
-    async def end(self, number=signal.SIGKILL):
+    async def end(self, signal_number=signal.SIGKILL):
         """Send a signal and wait until the process has ended."""
         if self.process is not None:
-            self.send(number)
+            self.send(signal_number)
             await self.process.wait()
 
 
 def _free_port(host):
-    with socket.create_server((host, 0)) as taken:
-        return taken.getsockname()[1]
+    with socket.create_server((host, 0)) as server:
+        return server.getsockname()[1]
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/soak/regressions.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/soak/regressions.py
@@ -1,4 +1,4 @@
-"""Soaks that once broke a promise, each with its cause."""
+"""Plans of soaks that had findings, each with the cause."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,15 @@
 
 @dataclass(slots=True, kw_only=True)
 class Regression:
-    """A plan that once found something, and what that was."""
+    """Plan of a soak that had findings, and their cause.
+
+    Parameters
+    ----------
+    plan : SoakPlan
+        Plan that reproduces the faults.
+    cause : str
+        For each promise in the findings, what broke it.
+    """
 
     plan: SoakPlan
     cause: str
@@ -19,36 +27,43 @@
     Regression(
         plan=SoakPlan(seed=1, duration_s=10.0),
         cause=(
-            "whole answer: the fault proxy closed connections that it should reset; "
-            "recovers: watches of 1.5 s under a bound on keys of 3 s"
+            "whole answer: the fault proxy closed connections that it should have "
+            "reset. recovers: watches lasted 1.5 s while the bound on removed keys was "
+            "3 s"
         ),
     ),
     Regression(
         plan=SoakPlan(seed=4, duration_s=15.0),
-        cause="recovers: watches of 1.5 s under a bound on keys of 3 s",
+        cause=(
+            "recovers: watches lasted 1.5 s while the bound on removed keys was 3 s"
+        ),
     ),
     Regression(
         plan=SoakPlan(seed=9, duration_s=14.0),
-        cause="whole answer: the stand-in of an endpoint changed its id in an answer",
+        cause=(
+            "whole answer: the stand-in for an endpoint changed its id while it sent a "
+            "response"
+        ),
     ),
     Regression(
         plan=SoakPlan(seed=101, duration_s=12.0),
         cause=(
-            "keys end: the stand-in of the store was deaf for longer than the platform "
-            "is, and its empty answers claimed to know the changes that they left out"
+            "keys end: the stand-in for the store withheld watch events for longer "
+            "than the platform does, and its empty responses named a revision that "
+            "included the withheld changes"
         ),
     ),
     Regression(
         plan=SoakPlan(seed=230, duration_s=12.0),
         cause=(
-            "recovers: an entry that is stopped shortly before the calm at the end is "
-            "down in it; open, see KNOWN-RED.txt"
+            "recovers: an entry that is stopped shortly before the fault-free time at "
+            "the end is down during it. Open, see KNOWN-RED.txt"
         ),
     ),
     Regression(
         plan=SoakPlan(seed=240, duration_s=12.0),
         cause=(
-            "goes on: two faults start one entry at the same time; open, see "
+            "goes on: two faults start the same entry at the same time. Open, see "
             "KNOWN-RED.txt"
         ),
     ),
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/soak/site.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/soak/site.py
@@ -1,4 +1,4 @@
-"""Stand-ins of a soak: store and endpoints, each behind the fault proxy."""
+"""Site of a soak: entry processes, and stand-ins behind the fault proxy."""
 
 import tempfile
 
@@ -16,12 +16,12 @@
 from magnoliagrade_standins.proxy import FaultProxy
 from magnoliagrade_standins.soak.processes import EntryProcess
 
-__all__ = ["EVENTS", "SoakSite"]
+__all__ = ["STREAM_EVENTS", "SoakSite"]
 
 HOST = "127.0.0.1"
-EVENTS = 6
-# Work of a plain request, and pause between the events of a stream.
-DELAY_S = 0.03
+STREAM_EVENTS = 6
+# Processing time of a plain request, and interval between the events of a stream.
+ENDPOINT_DELAY_S = 0.03
 ROUTES = [
     route_document("/look/", "plain"),
     route_document("/order/", "plain", kind="unsafe"),
@@ -30,12 +30,12 @@
 
 
 class SoakSite:
-    """Everything that a soak runs, while the context is open.
+    """Store, endpoints and entries of a soak; use as an asynchronous context manager.
 
     Parameters
     ----------
     plan : SoakPlan
-        Sizes.
+        Numbers of entries and endpoints, and the bound on removed keys.
     """
 
     def __init__(self, *, plan):
@@ -43,7 +43,7 @@
         self.clock = SystemClock()
         self.store = OperatorsStore()
         self.proxy = FaultProxy(clock=self.clock)
-        self.rules = {}
+        self.rules_by_fault_id = {}
         self.endpoints = []
         self.entries = []
         self.version = 3
@@ -53,7 +53,7 @@
         self._folder = tempfile.TemporaryDirectory()
 
     async def __aenter__(self):
-        """Start stand-ins and entries."""
+        """Start the stand-ins and the entries."""
         app = web.Application()
         app.add_routes(self.store.routes())
         runner = web.AppRunner(app, shutdown_timeout=0.1)
@@ -74,7 +74,7 @@
         return self
 
     async def __aexit__(self, *_exc):
-        """End what was started, by id."""
+        """Stop the processes and servers that this site started."""
         for entry in self.entries:
             await entry.end()
         self.proxy.close()
@@ -83,33 +83,35 @@
         self._folder.cleanup()
 
     def configure(self):
-        """Write the configuration with the keys that hold now."""
+        """Write a new version of the configuration with the current keys."""
         self.version += 2
         document = configuration_document(self.version, ROUTES, keys=self.keys)
         self.store.put("op/config", document)
 
-    def change_key(self):
-        """Add a key and take the oldest away."""
+    def rotate_key(self):
+        """Add a key and remove the oldest one."""
         self.keys.append(f"key-{self.version}")
         removed = self.keys.pop(0)
         self.configure()
         self.removed_at_by_key[removed] = self.clock.monotonic()
 
     def register(self, endpoint, **fields):
-        """Write an endpoint's entry."""
+        """Write an endpoint's registration to the store."""
         service = endpoint.id.partition("-")[0]
         document = endpoint_document(service, endpoint.address, **fields)
         self.store.put(f"servers/{endpoint.id}", document)
 
     def apply_rules(self):
-        """Put the rules of all faults that last in force."""
-        self.proxy.set_rules([rule for rules in self.rules.values() for rule in rules])
+        """Apply the proxy rules of all current faults."""
+        self.proxy.set_rules(
+            [rule for rules in self.rules_by_fault_id.values() for rule in rules]
+        )
 
     async def _add_endpoint(self, name, service):
         endpoint = SoakEndpoint(id=name, behaviour=EndpointBehaviour())
         endpoint.target = name
-        endpoint.behaviour.delay_s = DELAY_S
-        endpoint.behaviour.events = EVENTS
+        endpoint.behaviour.delay_s = ENDPOINT_DELAY_S
+        endpoint.behaviour.events = STREAM_EVENTS
         runner = web.ServerRunner(
             web.Server(endpoint.handle, handler_cancellation=True), shutdown_timeout=0.1
         )
@@ -127,7 +129,7 @@
 
 
 class SoakEndpoint(StandInEndpoint):
-    """Endpoint that may start again under another id at its address."""
+    """Stand-in endpoint whose id may change while its address stays the same."""
 
     address = ""
     target = ""
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/soak/tests/test_soak.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/soak/tests/test_soak.py
@@ -1,14 +1,17 @@
-"""A short soak with a fixed seed, and checks that must find what they look for."""
+"""A short soak with a fixed seed, and the checks on calls that break a promise."""
 
 import asyncio
 from types import SimpleNamespace
 
 from magnoliagrade_standins.soak import SoakPlan, run_soak
 from magnoliagrade_standins.soak.callers import SoakCall
-from magnoliagrade_standins.soak.checks import WHOLE_STREAM, check_calls
+from magnoliagrade_standins.soak.checks import (
+    COMPLETE_STREAM_TEXT,
+    find_broken_promises,
+)
 
-# How much is served in time says nothing on a busy machine; these hold on any.
-SAFETY = {
+# Promises that hold also on a busy machine. "recovers" and "keys end" depend on time.
+SAFETY_PROMISES = {
     "asked for",
     "at most once",
     "not run is true",
@@ -19,34 +22,36 @@
 }
 
 
-def test_short_soak_breaks_no_promise():
+def test_short_soak_breaks_no_safety_promise():
     report = asyncio.run(run_soak(SoakPlan(seed=1, duration_s=9.0)))
     assert report.by_status.get(200, 0) > 20
-    assert [f for f in report.findings if f.promise in SAFETY] == []
+    assert [f for f in report.findings if f.promise in SAFETY_PROMISES] == []
 
 
-def test_each_broken_promise_is_found():
-    stamp = {"answer_id": "c1-1", "stamp": "stamp of plain-1"}
+def test_call_that_breaks_a_promise_gives_its_finding():
+    stamp = {"response_id": "c1-1", "stamp": "stamp of plain-1"}
     for promise, call, runs in (
         ("at most once", _call("order"), ["c1-1", "c1-1"]),
         ("not run is true", _call("order", status=503), ["c1-1"]),
-        ("own answer", _call("look", status=200, answer_id="c1-2"), []),
+        ("own answer", _call("look", status=200, response_id="c1-2"), []),
         ("whole answer", _call("look", status=200, text="GET /lo", **stamp), []),
         ("whole stream", _call("stream", status=200, text="id: 1\n", **stamp), []),
         ("asked for", _call("order"), ["c9-9"]),
         ("keys end", _call("look", key="old"), ["c1-1"]),
     ):
-        found = [finding.promise for finding in check_calls(_site(runs), [call])]
+        found = [
+            finding.promise for finding in find_broken_promises(_site(runs), [call])
+        ]
         assert found == [promise], promise
 
 
-def test_whole_answers_are_no_findings():
-    stamp = {"answer_id": "c1-1", "stamp": "stamp of plain-1"}
+def test_complete_responses_give_no_findings():
+    stamp = {"response_id": "c1-1", "stamp": "stamp of plain-1"}
     look = _call("look", status=200, text="GET /look/1  by plain-1", **stamp)
     order = _call("order", status=200, text="POST /order/1 b by plain-1", **stamp)
-    stream = _call("stream", status=200, text=WHOLE_STREAM, **stamp)
+    stream = _call("stream", status=200, text=COMPLETE_STREAM_TEXT, **stamp)
     for call in (look, order, stream):
-        assert check_calls(_site(["c1-1"]), [call]) == []
+        assert find_broken_promises(_site(["c1-1"]), [call]) == []
 
 
 def _site(runs):
