--- a/packages/magnoliagrade-standins/magnoliagrade_standins/harness/__init__.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/harness/__init__.py
@@ -1,4 +1,4 @@
-"""Real processes for system tests and trials."""
+"""Sites of real processes on loopback, for system tests and trials."""
 
 from magnoliagrade_standins.harness.calls import (
     CallOutcome,
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/harness/calls.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/harness/calls.py
@@ -1,4 +1,4 @@
-"""Single calls to a site, as a caller would make them."""
+"""Calls to a plain service of a site, as a caller makes them."""
 
 import asyncio
 from dataclasses import dataclass
@@ -14,20 +14,20 @@
 
 @dataclass(slots=True, kw_only=True)
 class CallOutcome:
-    """What a caller saw of one call.
+    """Result of one call as its caller received it.
 
     Parameters
     ----------
     status : int
-        HTTP status; 0 if the connection failed.
+        HTTP status; 0 if no complete response arrived within 20 s.
     request_id : str
-        Request id of the answer.
+        Request id in the response's headers, or empty.
     code : str
-        Code of an error answer, or empty.
+        Error code in the response's body, or empty.
     ran : str
-        What an error answer says of the request having run, or empty.
+        Whether the request was executed, as an error response states it, or empty.
     body : dict
-        Body of the answer.
+        Decoded JSON body of the response; None without a response.
     """
 
     status: int
@@ -38,7 +38,7 @@
 
     @property
     def is_served(self):
-        """Whether the call was answered by its back end."""
+        """Whether the call succeeded, with status 200."""
         return self.status == 200
 
 
@@ -54,18 +54,18 @@
     entry : str
         Name of the entry.
     path : str
-        Path with the application first.
+        Path; its first segment is the application.
     method : str
         HTTP method.
     body : bytes
-        Body.
+        Request body.
     headers : dict of str to str, optional
         Additional headers.
 
     Returns
     -------
     outcome : CallOutcome
-        What the caller saw.
+        Result of the call; failed connections don't raise.
     """
     key = KEY_BY_ORGANISATION["organisation-0"]
     sent = {"Authorization": f"Bearer {key}", **(headers or {})}
@@ -75,13 +75,13 @@
             asyncio.timeout(CALL_TIMEOUT_S),
             site.session.request(method, url, data=body, headers=sent) as response,
         ):
-            answer = await response.json(content_type=None)
+            document = await response.json(content_type=None)
             return CallOutcome(
                 status=response.status,
                 request_id=response.headers.get("X-Request-Id", ""),
-                code=answer.get("code", ""),
-                ran=answer.get("ran", ""),
-                body=answer,
+                code=document.get("code", ""),
+                ran=document.get("ran", ""),
+                body=document,
             )
     except (aiohttp.ClientError, OSError, TimeoutError, ValueError):
         return CallOutcome(status=0)
@@ -101,14 +101,14 @@
     entries : sequence of str
         Entries, used in turn.
     rate_per_s : float
-        Calls a second; each call runs as a task of its own.
+        Calls started per second; each runs as its own task.
     **options
-        Passed on to `call_service`.
+        Further arguments of `call_service`.
 
     Returns
     -------
     outcomes : list of CallOutcome
-        One for each call.
+        Results in the order in which the calls were started.
     """
     tasks = []
     while clock.monotonic() < until:
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/harness/configurations.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/harness/configurations.py
@@ -1,4 +1,4 @@
-"""Configurations that harness and trials use."""
+"""Default configuration and API keys of the sites of system tests and trials."""
 
 import hashlib
 
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/harness/processes.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/harness/processes.py
@@ -1,4 +1,4 @@
-"""Processes that a test starts and stops by id."""
+"""Processes that a test starts, and stops by process id."""
 
 import asyncio
 import json
@@ -13,22 +13,22 @@
 
 
 class ProcessFailed(Exception):
-    """A process ended before it was ready, or did not stop."""
+    """A process was not ready in time, ended too early, or did not stop in time."""
 
 
 class SpawnedProcess:
-    """One running process and the addresses it announced.
+    """One process and the addresses that it reports when it is ready.
 
     Parameters
     ----------
     name : str
-        Name for messages.
+        Name used in error messages.
     command : list of str
         Program and arguments.
     log_path : str
-        File that takes its standard error.
+        File that its standard error is appended to.
     environ : dict of str to str, optional
-        Additions to the environment.
+        Environment variables in addition to those of this process.
     """
 
     __slots__ = (
@@ -56,7 +56,7 @@
         Raises
         ------
         ProcessFailed
-            If it ends or stays silent.
+            If it ends first, or prints no ready line within 30 s.
         """
         self._log = open(self.log_path, "ab")
         self.process = await asyncio.create_subprocess_exec(
@@ -64,7 +64,8 @@
             stdout=asyncio.subprocess.PIPE,
             stderr=self._log,
             env={**os.environ, **self.environ},
-            # Ctrl-C reaches only the starter, which stops the others in order.
+            # In its own session the process gets no SIGINT from the terminal: Ctrl-C
+            # reaches only its parent, which then stops all processes in order.
             start_new_session=True,
         )
         try:
@@ -72,36 +73,46 @@
                 line = await self.process.stdout.readline()
         except TimeoutError as exc:
             await self.kill()
-            raise ProcessFailed(f"{self.name} is not ready") from exc
+            raise ProcessFailed(f"{self.name} printed no ready line in time") from exc
         if not line:
-            raise ProcessFailed(f"{self.name} ended at once; see {self.log_path}")
+            raise ProcessFailed(
+                f"{self.name} ended before it was ready; see {self.log_path}"
+            )
         self.addresses = json.loads(line)["addresses"]
 
     async def stop(self):
-        """Send SIGTERM, wait, and return the exit code."""
+        """Send SIGTERM, wait for the end and return the exit code.
+
+        Raises
+        ------
+        ProcessFailed
+            If it does not end within 30 s; it is then killed.
+        """
         return await self._end(signal.SIGTERM)
 
     async def kill(self):
-        """Send SIGKILL and wait."""
+        """Send SIGKILL, wait for the end and return the exit code."""
         return await self._end(signal.SIGKILL)
 
     def freeze(self):
-        """Stop the process from running until `thaw`."""
+        """Suspend the process with SIGSTOP until `thaw`."""
         self.process.send_signal(signal.SIGSTOP)
 
     def thaw(self):
-        """Let a frozen process run again."""
+        """Resume a suspended process with SIGCONT."""
         self.process.send_signal(signal.SIGCONT)
 
-    async def _end(self, number):
+    async def _end(self, signal_number):
         if self.process.returncode is None:
-            self.process.send_signal(number)
+            self.process.send_signal(signal_number)
         try:
             async with asyncio.timeout(STOP_TIMEOUT_S):
                 code = await self.process.wait()
         except TimeoutError as exc:
             self.process.kill()
-            raise ProcessFailed(f"{self.name} did not stop") from exc
+            raise ProcessFailed(
+                f"{self.name} did not stop in time and was killed"
+            ) from exc
         finally:
             self._log.close()
         return code
@@ -113,14 +124,14 @@
     Parameters
     ----------
     name : str
-        Name of the stand-in.
+        Subcommand that runs the stand-in.
     **options
-        Its flags.
+        Flags, by name without the leading dashes.
     """
     flags = [f"--{key}={value}" for key, value in options.items()]
     return [sys.executable, "-m", "magnoliagrade_standins", name, *flags]
 
 
 def binary_command(binary, *arguments):
-    """Return the command that runs one of the product's binaries."""
+    """Return the command that runs a binary installed beside this interpreter."""
     return [os.path.join(os.path.dirname(sys.executable), binary), *arguments]
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/harness/site.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/harness/site.py
@@ -1,4 +1,4 @@
-"""A site of data centres made of real processes on loopback."""
+"""A site of several data centres, run as processes on loopback."""
 
 import asyncio
 import configparser
@@ -22,36 +22,37 @@
 __all__ = ["Site", "SitePlan"]
 
 READY_TIMEOUT_S = 30.0
-POLL_S = 0.05
+POLL_INTERVAL_S = 0.05
 
 
 @dataclass(slots=True, kw_only=True)
 class SitePlan:
-    """What a site is made of.
+    """Processes of a site and their settings.
 
     Parameters
     ----------
     entries_by_data_centre : dict of str to int
-        Entry instances in each data centre.
+        Number of entry instances in each data centre.
     engines_by_data_centre : dict of str to int
-        Model endpoints in each.
+        Number of model endpoints in each data centre.
     services_by_data_centre : dict of str to int
-        Plain-service endpoints in each.
+        Number of plain-service endpoints in each data centre.
     configuration : str
         INI text of the operators' configuration.
     engine_options : dict
-        Fields of the engines' profile.
+        Flags of the engine stand-ins: fields of their profile.
     service_options : dict
-        Flags of the plain services.
+        Flags of the plain-service stand-ins.
     entry_settings : dict of str to dict
         Additions to the entries' settings, by section.
     agent_settings : dict of str to dict
         Additions to the agents' settings, by section.
     agent_settings_by_name : dict of str to dict
-        Additions to the settings of single agents.
+        Additions to the settings of an agent, by agent and section. They replace
+        `agent_settings` section by section.
     has_proxy : bool
         Whether every connection goes through the fault proxy. Each process then
-        connects from an address of its own (`Site.source_of`), and the proxy's
+        connects from its own source address (`Site.source_of`), and the proxy's
         targets are `platform`, `NAME/data`, `NAME/control` and `NAME/back-end`.
     """
 
@@ -68,12 +69,12 @@
 
 
 class Site:
-    """Running processes of a plan; use as an asynchronous context manager.
+    """Running processes of a site; use as an asynchronous context manager.
 
     Parameters
     ----------
     plan : SitePlan
-        What to start.
+        Processes to start.
     """
 
     __slots__ = (
@@ -99,7 +100,7 @@
         self._source_by_name = {}
 
     async def __aenter__(self):
-        """Start everything and wait until each entry is ready."""
+        """Start all processes and wait until each entry is ready."""
         self._folder = tempfile.TemporaryDirectory(prefix="magnoliagrade-")
         self.session = aiohttp.ClientSession()
         try:
@@ -110,7 +111,7 @@
         return self
 
     async def __aexit__(self, *_exc):
-        """Kill every process that still runs."""
+        """Kill the processes and delete their folder."""
         await self.session.close()
         processes = [
             *self.entry_by_name.values(),
@@ -125,29 +126,32 @@
 
     @property
     def folder(self):
-        """Return the folder of settings and logs."""
+        """Return the path of the folder with settings files and logs."""
         return self._folder.name
 
     @property
     def platform_url(self):
-        """Return the URL of the platform's stand-in."""
+        """Return the URL of the platform's stand-in, without the proxy."""
         return f"http://{self.platform.addresses['http']}"
 
     @property
     def platform_url_seen(self):
-        """Return the URL at which the system's processes find the platform."""
+        """Return the URL of the platform for the site's processes.
+
+        It leads through the fault proxy if there is one.
+        """
         if self.proxy is None:
             return self.platform_url
         return f"http://{self.proxy.addresses['platform']}"
 
     def source_of(self, name):
-        """Return the address that a process connects from.
+        """Return the source address of a process's connections.
 
         Parameters
         ----------
         name : str
-            Name of an entry or agent, or a data centre for the prefix of all in
-            it, which ends with a dot.
+            Name of an entry or agent. The name of a data centre gives the prefix
+            of all its addresses, which ends with a dot.
         """
         data_centre, dash, _ = name.partition("-")
         names = list(self.plan.entries_by_data_centre)
@@ -162,42 +166,50 @@
         return f"http://{self.entry_by_name[entry].addresses['caller']}"
 
     async def record(self, back_end):
-        """Return the record of a back end."""
+        """Return the record of the requests that a back end received."""
         address = self.back_end_by_name[back_end].addresses["http"]
         async with self.session.get(f"http://{address}/record") as response:
             return await response.json()
 
     def journal(self, service):
-        """Return every execution of a plain service, also of its killed processes.
+        """Return all executions of a plain service, also those by killed processes.
 
         Parameters
         ----------
         service : str
-            Name of the endpoint.
+            Name of the plain-service endpoint.
 
         Returns
         -------
         executions : list of dict
-            As in the service's record.
+            Entries in the form of the service's record.
         """
         with open(self.back_end_by_name[service].log_path, encoding="utf-8") as file:
             return [json.loads(line) for line in file if line.startswith('{"id"')]
 
     async def restart_back_end(self, name):
-        """Start a killed back end again where its agent looks for it."""
+        """Start a killed back end again and forward its proxy address to it."""
         back_end = self.back_end_by_name[name]
         await back_end.start()
-        await self._point(f"{name}/back-end", back_end.addresses["http"])
+        await self._set_proxy_address(f"{name}/back-end", back_end.addresses["http"])
 
     async def control_back_end(self, back_end, order):
-        """Send an order to the control of a back end."""
+        """Send an order, as JSON, to the control path of a back end."""
         address = self.back_end_by_name[back_end].addresses["http"]
         url = f"http://{address}/control"
         async with self.session.post(url, json=order) as response:
             response.raise_for_status()
 
     async def control_platform(self, path, body):
-        """Set faults, lag or rows of the platform's stand-in."""
+        """Set faults, lag or instance rows of the platform's stand-in.
+
+        Parameters
+        ----------
+        path : str
+            Path below `/control/`.
+        body : dict
+            JSON body of the request.
+        """
         url = f"{self.platform_url}/control/{path}"
         async with self.session.post(url, json=body) as response:
             response.raise_for_status()
@@ -208,12 +220,12 @@
         Parameters
         ----------
         *rules : dict
-            Fields of `magnoliagrade_standins.proxy.Rule`.
+            Fields of a `magnoliagrade_standins.proxy.Rule`.
         """
         await self._control_proxy("rules", list(rules))
 
     async def list_instance(self, name, process, role, data_centre, state="live"):
-        """Enter an instance in the platform's list."""
+        """Add an instance to the platform's list of instances."""
         row = {
             "role": role,
             "data_centre": data_centre,
@@ -292,12 +304,12 @@
         await self.start_listed(entry, "entry")
 
     async def start_listed(self, process, role):
-        """Start an entry or agent, also again, and enter it in the list.
+        """Start or restart an entry or agent and add it to the list of instances.
 
         Parameters
         ----------
         process : SpawnedProcess
-            The process.
+            Process to start.
         role : str
             `entry` or `agent`.
         """
@@ -306,18 +318,26 @@
         if self.proxy is not None:
             for listener in ("data", "control"):
                 target = f"{name}/{listener}"
-                await self._point(target, process.addresses[listener])
+                await self._set_proxy_address(target, process.addresses[listener])
         await self.list_instance(name, process, role, name.partition("-")[0])
 
     async def wait_ready(self):
-        """Wait until every entry is ready and linked to what it needs."""
+        """Wait until every entry is ready and has its links and peer summaries.
+
+        Raises
+        ------
+        TimeoutError
+            If an entry is not ready within 30 s.
+        """
         clock = SystemClock()
-        limit = clock.monotonic() + READY_TIMEOUT_S
+        deadline = clock.monotonic() + READY_TIMEOUT_S
         for name in self.entry_by_name:
             while not await self._is_ready(name):
-                if clock.monotonic() > limit:
-                    raise TimeoutError(f"{name} is not ready; logs in {self.folder}")
-                await clock.sleep(POLL_S)
+                if clock.monotonic() > deadline:
+                    raise TimeoutError(
+                        f"{name} was not ready in time; logs in {self.folder}"
+                    )
+                await clock.sleep(POLL_INTERVAL_S)
 
     async def _is_ready(self, name):
         address = self.entry_by_name[name].addresses["admin"]
@@ -329,14 +349,16 @@
         return self._is_linked(name, status)
 
     def _is_linked(self, name, status):
-        own = status["data_centre"]
-        local = [*self.agent_by_name, *self.entry_by_name]
-        local = {n for n in local if n.startswith(f"{own}-")} - {name}
-        if not local <= set(status["links"]):
+        local_data_centre = status["data_centre"]
+        needed_links = [*self.agent_by_name, *self.entry_by_name]
+        needed_links = {
+            n for n in needed_links if n.startswith(f"{local_data_centre}-")
+        } - {name}
+        if not needed_links <= set(status["links"]):
             return False
-        others = set(self.plan.entries_by_data_centre) - {own}
-        heard = {p["data_centre"] for p in status["peers"] if p["has_summary"]}
-        return others <= heard and all(e["limit"] for e in status["endpoints"])
+        remote = set(self.plan.entries_by_data_centre) - {local_data_centre}
+        reporting = {p["data_centre"] for p in status["peers"] if p["has_summary"]}
+        return remote <= reporting and all(e["limit"] for e in status["endpoints"])
 
     async def _start_proxy(self):
         self.proxy = self._process("proxy", standin_command("proxy"))
@@ -347,16 +369,16 @@
         if self.proxy is None:
             return address
         proxied = await self._open(target)
-        await self._point(target, address)
+        await self._set_proxy_address(target, address)
         return proxied
 
     async def _open(self, target):
         if target not in self.proxy.addresses:
-            answer = await self._control_proxy("open", {"target": target})
-            self.proxy.addresses[target] = answer["address"]
+            opened = await self._control_proxy("open", {"target": target})
+            self.proxy.addresses[target] = opened["address"]
         return self.proxy.addresses[target]
 
-    async def _point(self, target, address):
+    async def _set_proxy_address(self, target, address):
         await self._control_proxy("point", {"target": target, "address": address})
 
     async def _control_proxy(self, path, body):
