--- a/packages/magnoliagrade-standins/magnoliagrade_standins/platform/__init__.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/platform/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the platform's store and list of instances."""
+"""Stand-ins for the platform's key-value store and its list of instances."""
 
 from magnoliagrade_standins.platform.listing import ListedInstances
 from magnoliagrade_standins.platform.server import make_platform_app
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/platform/server.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/platform/server.py
@@ -1,4 +1,4 @@
-"""HTTP face of the platform's stand-ins; docs/PLATFORM.md gives the protocol."""
+"""HTTP interface of the platform's stand-ins; docs/PLATFORM.md gives the protocol."""
 
 import dataclasses
 
@@ -20,14 +20,14 @@
 
 
 def make_platform_app(*, store, listing):
-    """Return the application that serves store and list.
+    """Return an application that serves a store, a list and the control paths.
 
     Parameters
     ----------
     store : MemoryStore
-        The store.
+        Store to serve.
     listing : ListedInstances
-        The list of instances.
+        List of instances to serve.
     """
     app = web.Application(client_max_size=8 * 1024 * 1024)
     app.router.add_routes(
@@ -38,16 +38,16 @@
             *_control_routes(store, listing),
         ]
     )
-    app.middlewares.append(_answer_errors)
+    app.middlewares.append(_respond_to_errors)
     return app
 
 
 @web.middleware
-async def _answer_errors(request, handler):
+async def _respond_to_errors(request, handler):
     try:
         return await handler(request)
     except StoreUnavailable as exc:
-        # A store that is down gives no answer at all.
+        # The store is down or the response is lost: close the connection without one.
         if request.transport is not None:
             request.transport.abort()
         return web.Response(status=503, text=exc.detail)
@@ -83,7 +83,7 @@
         revision = await store.put(
             request.match_info["key"],
             await request.read(),
-            expected_revision=_expected(request),
+            expected_revision=_expected_revision(request),
             lease=request.query.get("lease", ""),
             purpose=_PURPOSE,
         )
@@ -92,7 +92,7 @@
     async def delete(request):
         await store.delete(
             request.match_info["key"],
-            expected_revision=_expected(request),
+            expected_revision=_expected_revision(request),
             purpose=_PURPOSE,
         )
         return web.Response()
@@ -105,7 +105,7 @@
     ]
 
 
-def _expected(request):
+def _expected_revision(request):
     text = request.query.get("expected_revision")
     return None if text is None else int(text)
 
@@ -131,10 +131,10 @@
 
 
 def _list_routes(listing):
-    async def rows(_request):
+    async def read_rows(_request):
         return web.json_response(listing.rows())
 
-    return [web.get("/v1/instances", rows)]
+    return [web.get("/v1/instances", read_rows)]
 
 
 def _control_routes(store, listing):
@@ -150,12 +150,12 @@
         listing.lag_s = float((await request.json())["lag_s"])
         return web.Response()
 
-    async def calls(_request):
+    async def read_calls(_request):
         return web.json_response(store.calls_by_purpose)
 
     return [
         web.post("/control/faults", set_faults),
         web.post("/control/instances/{name}", set_row),
         web.post("/control/lag", set_lag),
-        web.get("/control/calls", calls),
+        web.get("/control/calls", read_calls),
     ]
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/platform/tests/test_http_store.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/platform/tests/test_http_store.py
@@ -15,7 +15,7 @@
 P = {"purpose": "test"}
 
 
-def test_write_without_an_answer_is_not_sent_again_behind_the_callers_back():
+def test_write_whose_response_is_lost_is_not_repeated_by_the_http_client():
     async def main():
         clock = SystemClock()
         memory = MemoryStore(clock=clock)
@@ -23,16 +23,17 @@
         runner, address = await start_site(app, "127.0.0.1:0", shutdown_timeout=0.1)
         async with aiohttp.ClientSession() as session:
             store = HttpStore(url=f"http://{address}", session=session)
-            # The connection is kept open, and reused by what follows.
+            # HTTP clients may repeat a request by themselves on a reused connection.
+            # The next write reuses this connection.
             first = await store.put("k", b"1", expected_revision=0, **P)
             memory.set_faults(StoreFaults(lose_write_answers=1))
-            seen = None
+            raised = None
             try:
                 await store.put("k", b"2", expected_revision=first, **P)
             except (StoreConflict, StoreUnavailable) as exc:
-                seen = exc
+                raised = exc
         await runner.cleanup()
-        assert isinstance(seen, StoreUnavailable) and seen.maybe_applied, seen
+        assert isinstance(raised, StoreUnavailable) and raised.maybe_applied, raised
         assert (await memory.get("k", **P)).value == b"2"
 
     asyncio.run(main())
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/platform/tests/test_store.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/platform/tests/test_store.py
@@ -8,18 +8,18 @@
 P = {"purpose": "test"}
 
 
-def test_compare_and_swap():
+def test_put_with_an_outdated_revision_raises_conflict():
     async def main():
         store = MemoryStore(clock=ManualClock())
         first = await store.put("k", b"1", expected_revision=0, **P)
-        assert await _conflicts(store.put("k", b"2", expected_revision=0, **P))
+        assert await _raises_conflict(store.put("k", b"2", expected_revision=0, **P))
         await store.put("k", b"2", expected_revision=first, **P)
         assert (await store.get("k", **P)).value == b"2"
 
     asyncio.run(main())
 
 
-def test_lapsed_lease_drops_its_keys():
+def test_keys_are_deleted_when_their_lease_lapses():
     async def main():
         clock = ManualClock()
         store = MemoryStore(clock=clock)
@@ -31,12 +31,12 @@
         assert await store.get("k", **P) is not None
         await clock.advance(2)
         assert await store.get("k", **P) is None
-        assert await _conflicts(store.renew_lease(lease, **P))
+        assert await _raises_conflict(store.renew_lease(lease, **P))
 
     asyncio.run(main())
 
 
-def test_lost_answer_has_taken_effect():
+def test_write_whose_response_is_lost_takes_effect():
     async def main():
         store = MemoryStore(clock=ManualClock())
         store.set_faults(StoreFaults(lose_write_answers=1))
@@ -49,7 +49,7 @@
     asyncio.run(main())
 
 
-def test_watch_returns_newer_value():
+def test_watch_returns_a_newer_value():
     async def main():
         store = MemoryStore(clock=ManualClock())
         watch = asyncio.create_task(store.watch("k", after_revision=0, wait_s=30, **P))
@@ -60,7 +60,7 @@
     asyncio.run(main())
 
 
-async def _conflicts(call):
+async def _raises_conflict(call):
     try:
         await call
     except StoreConflict:
