--- a/packages/magnoliagrade-standins/magnoliagrade_standins/proxy/__init__.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/proxy/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-in of a faulty network: a TCP proxy with rules."""
+"""Stand-in for a faulty network: a TCP proxy that injects faults by rules."""
 
 from magnoliagrade_standins.proxy.proxy import FaultProxy, Flow, Rule
 from magnoliagrade_standins.proxy.server import make_proxy_app
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/proxy/proxy.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/proxy/proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy that delays, stalls and cuts connections by source and target."""
+"""A TCP proxy that delays, stalls and resets connections by source and target."""
 
 import asyncio
 import contextlib
@@ -10,35 +10,36 @@
 __all__ = ["FaultProxy", "Flow", "Rule"]
 
 READ_BYTES = 64 * 1024
-STALL_POLL_S = 0.02
+STALL_POLL_INTERVAL_S = 0.02
 
 
 class Flow(enum.Enum):
-    """What happens to the bytes of a connection."""
+    """Treatment of the bytes of a connection."""
 
     PASS = "pass"
-    CUT = "cut"  # connections are reset, new ones too
-    STALL = "stall"  # nothing arrives on either side
+    CUT = "cut"  # open and new connections are reset
+    STALL = "stall"  # bytes are held back in both directions
     STALL_TO_TARGET = "stall-to-target"
     STALL_FROM_TARGET = "stall-from-target"
 
 
 @dataclass(slots=True, kw_only=True)
 class Rule:
-    """What happens to connections from some sources to some targets.
+    """Fault of the connections from matching sources to matching targets.
 
     Parameters
     ----------
     source : str
-        Prefix of the connecting address; empty means all.
+        Prefix of the source address; empty matches all.
     target : str
-        Prefix of the target's name; empty means all.
+        Prefix of the target's name; empty matches all.
     flow : Flow
-        What happens.
+        Treatment of the connections.
     delay_s : float
-        Delay of each chunk in each direction.
+        Delay of each chunk of bytes in each direction, in seconds.
     cut_after_bytes : int
-        Reset a connection once so many bytes have gone from its target; 0 never.
+        Number of bytes from the target after which a connection is reset; 0 for no
+        limit.
     """
 
     source: str = ""
@@ -48,23 +49,23 @@
     cut_after_bytes: int = 0
 
     def matches(self, source, target):
-        """Return whether the rule is about a connection."""
+        """Return whether the rule applies to a source address and a target's name."""
         return source.startswith(self.source) and target.startswith(self.target)
 
 
 class FaultProxy:
-    """Listeners that forward to targets under rules.
+    """TCP proxy with a listener for each target.
 
     Parameters
     ----------
     clock : Clock
         Source of time.
     host : str
-        Address to listen on.
+        Address that the listeners bind to.
 
     Notes
     -----
-    The newest rule that matches a connection applies. Rules that cut also end
+    The last rule that matches a connection applies. A rule with `Flow.CUT` also resets
     the connections that are open.
     """
 
@@ -86,7 +87,7 @@
         self._connections = set()
 
     async def open(self, target):
-        """Listen on a free port for a named target and return `host:port`."""
+        """Listen for a named target on a free port and return its `host:port`."""
 
         async def on_connection(reader, writer):
             with contextlib.suppress(asyncio.CancelledError):
@@ -97,83 +98,83 @@
         host, port = server.sockets[0].getsockname()[:2]
         return f"{host}:{port}"
 
-    def point(self, target, address):
-        """Set the `host:port` that a named target stands for from now on."""
+    def set_address(self, target, address):
+        """Set the `host:port` to which new connections for a target are forwarded."""
         self._address_by_target[target] = address
 
     def set_rules(self, rules):
-        """Replace all rules and cut the connections that they forbid."""
+        """Replace all rules and reset the open connections that they cut."""
         self._rules = list(rules)
         for connection in list(self._connections):
             source, target, writers = connection
-            if self._rule(source, target).flow is Flow.CUT:
-                _abort(writers)
+            if self._matching_rule(source, target).flow is Flow.CUT:
+                _reset(writers)
 
     def close(self):
-        """Stop listening and cut every connection."""
+        """Stop listening and reset every connection."""
         for server in self._servers:
             server.close()
         for _, _, writers in list(self._connections):
-            _abort(writers)
+            _reset(writers)
 
-    def _rule(self, source, target):
+    def _matching_rule(self, source, target):
         matching = [r for r in self._rules if r.matches(source, target)]
         return matching[-1] if matching else Rule()
 
     async def _forward(self, reader, writer, target):
         source = writer.get_extra_info("peername")[0]
-        if self._rule(source, target).flow is Flow.CUT:
+        if self._matching_rule(source, target).flow is Flow.CUT:
             reset_connection(writer.transport)
             return
         address = self._address_by_target.get(target, "")
         host, _, port = address.rpartition(":")
         try:
-            onward = await asyncio.open_connection(host, int(port or 0))
+            upstream = await asyncio.open_connection(host, int(port or 0))
         except OSError:
             writer.transport.abort()
             return
-        connection = (source, target, (writer, onward[1]))
+        connection = (source, target, (writer, upstream[1]))
         self._connections.add(connection)
         try:
             await asyncio.gather(
-                self._pump(connection, reader, onward[1], is_to_target=True),
-                self._pump(connection, onward[0], writer, is_to_target=False),
+                self._copy_bytes(connection, reader, upstream[1], is_to_target=True),
+                self._copy_bytes(connection, upstream[0], writer, is_to_target=False),
             )
         finally:
             self._connections.discard(connection)
             writer.close()
-            onward[1].close()
+            upstream[1].close()
 
-    async def _pump(self, connection, reader, writer, *, is_to_target):
+    async def _copy_bytes(self, connection, reader, writer, *, is_to_target):
         source, target, writers = connection
-        passed = 0
+        copied_bytes = 0
         with contextlib.suppress(ConnectionError, OSError):
             while data := await reader.read(READ_BYTES):
-                rule = await self._wait_for_flow(source, target, is_to_target)
+                rule = await self._wait_while_stalled(source, target, is_to_target)
                 if rule.delay_s:
                     await self._clock.sleep(rule.delay_s)
-                limit = 0 if is_to_target else rule.cut_after_bytes
-                if limit and passed + len(data) >= limit:
-                    writer.write(data[: limit - passed])
+                limit_bytes = 0 if is_to_target else rule.cut_after_bytes
+                if limit_bytes and copied_bytes + len(data) >= limit_bytes:
+                    writer.write(data[: limit_bytes - copied_bytes])
                     await writer.drain()
                     break
-                passed += len(data)
+                copied_bytes += len(data)
                 writer.write(data)
                 await writer.drain()
             else:
                 writer.write_eof()
                 return
-        _abort(writers)
+        _reset(writers)
 
-    async def _wait_for_flow(self, source, target, is_to_target):
-        direction = Flow.STALL_TO_TARGET if is_to_target else Flow.STALL_FROM_TARGET
+    async def _wait_while_stalled(self, source, target, is_to_target):
+        stall = Flow.STALL_TO_TARGET if is_to_target else Flow.STALL_FROM_TARGET
         while True:
-            rule = self._rule(source, target)
-            if rule.flow not in (Flow.STALL, direction):
+            rule = self._matching_rule(source, target)
+            if rule.flow not in (Flow.STALL, stall):
                 return rule
-            await self._clock.sleep(STALL_POLL_S)
+            await self._clock.sleep(STALL_POLL_INTERVAL_S)
 
 
-def _abort(writers):
+def _reset(writers):
     for writer in writers:
         reset_connection(writer.transport)
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/proxy/server.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/proxy/server.py
@@ -1,4 +1,4 @@
-"""HTTP control of the fault proxy."""
+"""HTTP interface that controls the fault proxy."""
 
 from aiohttp import web
 
@@ -8,21 +8,21 @@
 
 
 def make_proxy_app(proxy):
-    """Return the application that controls a proxy.
+    """Return an application that opens targets and sets addresses and rules.
 
     Parameters
     ----------
     proxy : FaultProxy
-        The proxy.
+        Proxy to control.
     """
 
     async def open_target(request):
         target = (await request.json())["target"]
         return web.json_response({"address": await proxy.open(target)})
 
-    async def point(request):
+    async def set_address(request):
         fields = await request.json()
-        proxy.point(fields["target"], fields["address"])
+        proxy.set_address(fields["target"], fields["address"])
         return web.Response()
 
     async def set_rules(request):
@@ -34,6 +34,6 @@
 
     app = web.Application()
     app.router.add_post("/control/open", open_target)
-    app.router.add_post("/control/point", point)
+    app.router.add_post("/control/point", set_address)
     app.router.add_post("/control/rules", set_rules)
     return app
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/proxy/tests/test_proxy.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/proxy/tests/test_proxy.py
@@ -18,7 +18,7 @@
     server = await asyncio.start_server(_echo, "127.0.0.1", 0)
     proxy = FaultProxy(clock=SystemClock())
     address = await proxy.open("echo")
-    proxy.point("echo", f"127.0.0.1:{server.sockets[0].getsockname()[1]}")
+    proxy.set_address("echo", f"127.0.0.1:{server.sockets[0].getsockname()[1]}")
     reader, writer = await asyncio.open_connection(*address.split(":"))
     try:
         await check(proxy, reader, writer)
@@ -28,7 +28,7 @@
         server.close()
 
 
-def test_bytes_pass_both_ways():
+def test_bytes_are_forwarded_in_both_directions():
     async def check(_proxy, reader, writer):
         writer.write(b"hello")
         assert await reader.readexactly(5) == b"hello"
@@ -36,7 +36,7 @@
     asyncio.run(_with_proxy(check))
 
 
-def test_cut_resets_open_connections_of_matching_sources():
+def test_cut_resets_only_open_connections_of_matching_sources():
     async def check(proxy, reader, writer):
         writer.write(b"x")
         await reader.readexactly(1)
@@ -53,16 +53,16 @@
     asyncio.run(_with_proxy(check))
 
 
-def test_cut_after_bytes():
+def test_connection_is_reset_after_the_byte_limit():
     async def check(proxy, reader, writer):
         proxy.set_rules([Rule(cut_after_bytes=3)])
         writer.write(b"hello")
-        got = b""
+        received = b""
         try:
             while data := await reader.read(10):
-                got += data
+                received += data
         except ConnectionError:
             pass
-        assert got in (b"", b"hel")
+        assert received in (b"", b"hel")
 
     asyncio.run(_with_proxy(check))
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/soak/site.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/soak/site.py
@@ -124,7 +124,7 @@
         await web.TCPSite(runner, HOST, 0).start()
         self._runners.append(runner)
         port = runner.addresses[0][1]
-        self.proxy.point(target, f"{HOST}:{port}")
+        self.proxy.set_address(target, f"{HOST}:{port}")
         return await self.proxy.open(target)
 
 
