--- a/packages/magnoliagrade-standins/magnoliagrade_standins/harness/site.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/harness/site.py
@@ -135,7 +135,7 @@
         return f"http://{self.platform.addresses['http']}"
 
     @property
-    def platform_url_seen(self):
+    def platform_url_via_proxy(self):
         """Return the URL of the platform for the site's processes.
 
         It leads through the fault proxy if there is one.
@@ -292,8 +292,8 @@
             "instance": {"name": name, "data_centre": data_centre},
             "listen": await self._listen_settings(name),
             "platform": {
-                "store_url": self.platform_url_seen,
-                "instances_url": f"{self.platform_url_seen}/v1/instances",
+                "store_url": self.platform_url_via_proxy,
+                "instances_url": f"{self.platform_url_via_proxy}/v1/instances",
                 "instances_interval_s": "0.2",
             },
         }
@@ -368,11 +368,11 @@
     async def _proxied(self, target, address):
         if self.proxy is None:
             return address
-        proxied = await self._open(target)
+        proxied = await self._open_proxy_target(target)
         await self._set_proxy_address(target, address)
         return proxied
 
-    async def _open(self, target):
+    async def _open_proxy_target(self, target):
         if target not in self.proxy.addresses:
             opened = await self._control_proxy("open", {"target": target})
             self.proxy.addresses[target] = opened["address"]
@@ -391,8 +391,10 @@
         if self.proxy is None:
             return {}
         return {
-            "advertised_data_address": await self._open(f"{name}/data"),
-            "advertised_control_address": await self._open(f"{name}/control"),
+            "advertised_data_address": await self._open_proxy_target(f"{name}/data"),
+            "advertised_control_address": await self._open_proxy_target(
+                f"{name}/control"
+            ),
             "source_address": self.source_of(name),
         }
 
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/ranks/site.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/ranks/site.py
@@ -129,7 +129,7 @@
     async def _address_for_control(self, name):
         # Agents of a group name each other in their settings, before they listen.
         if self.proxy is not None:
-            return await self._open(f"{name}/control")
+            return await self._open_proxy_target(f"{name}/control")
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
             return f"127.0.0.1:{free.getsockname()[1]}"
@@ -141,7 +141,7 @@
         sections = {
             "instance": {"name": name, "data_centre": self.data_centre},
             "listen": listen,
-            "platform": {"store_url": self.platform_url_seen},
+            "platform": {"store_url": self.platform_url_via_proxy},
             "endpoint": {
                 "url": self._rank_url(rank),
                 "work": "model",
