--- a/packages/magnoliagrade-standins/magnoliagrade_standins/demo/skew.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/demo/skew.py
@@ -6,7 +6,7 @@
 import aiohttp
 from magnoliagrade.clock import SystemClock
 
-from magnoliagrade_standins.ranks import StepRecord, find_two_maps
+from magnoliagrade_standins.ranks import StepRecord, find_map_conflict
 
 __all__ = ["SkewReport", "watch_skew"]
 
@@ -43,7 +43,7 @@
         steps = [StepRecord(**row) for row in record["records"]]
         self.versions = len({step.version for step in steps})
         self.steps = min(record["completed"])
-        self.has_two_maps = find_two_maps(steps) is not None
+        self.has_two_maps = find_map_conflict(steps) is not None
         self.stall_s = record["stall_s"]
 
     def as_text(self):
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/explore/exploration.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/explore/exploration.py
@@ -11,7 +11,7 @@
 
 from magnoliagrade_standins.explore.faults import planted_faults
 from magnoliagrade_standins.explore.orders import UnreliableOrders
-from magnoliagrade_standins.ranks import Rank, RankGroup, find_two_maps
+from magnoliagrade_standins.ranks import Rank, RankGroup, find_map_conflict
 
 __all__ = ["Exploration", "ExplorationPlan", "Finding", "explore", "finish"]
 
@@ -340,7 +340,7 @@
         finding.walks += 1
         finding.steps += len(records)
         finding.switches += len({r.version for r in records}) - 1 if records else 0
-        pair = find_two_maps(records)
+        pair = find_map_conflict(records)
         if pair is not None:
             finding.two_maps = f"seed {seed}: {pair[0]} and {pair[1]}"
             break
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/explore/tests/test_cases.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/explore/tests/test_cases.py
@@ -17,7 +17,7 @@
 
 from magnoliagrade_standins.explore import Exploration, ExplorationPlan
 from magnoliagrade_standins.explore.exploration import finish
-from magnoliagrade_standins.ranks import find_two_maps
+from magnoliagrade_standins.ranks import find_map_conflict
 
 RANKS = 3
 TELLING = (ArmAck, SwitchOutcome, OutcomeKnown)
@@ -62,7 +62,7 @@
 
 def _check(group):
     assert group.settle()
-    assert find_two_maps(group.group.records) is None
+    assert find_map_conflict(group.group.records) is None
 
 
 def _is(kind):
@@ -267,7 +267,7 @@
     _restart(group, 0, "both")
     _restart(group, 1, "both")
     assert group.settle()
-    return find_two_maps(group.group.records)
+    return find_map_conflict(group.group.records)
 
 
 def _is_answer_of_rank_0_to_rank_2(rank, message):
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/ranks/group.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/ranks/group.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-__all__ = ["RankGroup", "StepRecord", "find_two_maps"]
+__all__ = ["RankGroup", "StepRecord", "find_map_conflict"]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -91,7 +91,7 @@
         return True
 
 
-def find_two_maps(records):
+def find_map_conflict(records):
     """Return two records of one step with different maps, or None.
 
     Parameters
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/trials/group_faults.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/trials/group_faults.py
@@ -6,7 +6,7 @@
 from magnoliagrade.clock import SystemClock
 from magnoliagrade.store import HttpStore
 
-from magnoliagrade_standins.ranks import StepRecord, find_two_maps
+from magnoliagrade_standins.ranks import StepRecord, find_map_conflict
 from magnoliagrade_standins.ranks.site import GROUP, GroupSite, group_plan
 from magnoliagrade_standins.trials.registry import TrialResult, trials
 
@@ -78,7 +78,7 @@
         seconds = clock.monotonic() - ended
         result.figures[f"recovery_s.{name}"] = seconds
     record = await site.group_record()
-    pair = find_two_maps(StepRecord(**r) for r in record["records"])
+    pair = find_map_conflict(StepRecord(**r) for r in record["records"])
     result.check("one map in each step", pair is None, pair or "")
     result.figures["maps_used"] = len(_versions(record))
     result.figures["steps"] = len(record["records"]) / RANKS
--- a/tests/test_group_path.py
+++ b/tests/test_group_path.py
@@ -6,7 +6,7 @@
 import aiohttp
 from magnoliagrade.clock import SystemClock
 from magnoliagrade_standins.engine import expected_text
-from magnoliagrade_standins.ranks import StepRecord, find_two_maps
+from magnoliagrade_standins.ranks import StepRecord, find_map_conflict
 from magnoliagrade_standins.ranks.site import GroupSite, group_plan
 
 RANKS = 4
@@ -43,7 +43,7 @@
             await _check_stream(await stream)
             await _until(lambda: _complete(site), at_least=1)
         record = await site.group_record()
-        assert find_two_maps(StepRecord(**r) for r in record["records"]) is None
+        assert find_map_conflict(StepRecord(**r) for r in record["records"]) is None
 
 
 def test_leaving_rank_waits_for_the_requests_of_all_ranks():
