--- a/packages/magnoliagrade-standins/magnoliagrade_standins/explore/__init__.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/explore/__init__.py
@@ -1,17 +1,17 @@
-"""Explorer of message orders, losses and restarts in the switch of a map."""
+"""Random-walk model checker of the switch of a group's expert map."""
 
 from magnoliagrade_standins.explore.command import explore_command
 from magnoliagrade_standins.explore.exploration import (
-    Exploration,
     ExplorationPlan,
+    RandomWalk,
     explore,
 )
 from magnoliagrade_standins.explore.faults import planted_faults
 
 __all__ = [
-    "explore_command",
-    "Exploration",
     "ExplorationPlan",
+    "RandomWalk",
     "explore",
+    "explore_command",
     "planted_faults",
 ]
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/explore/command.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/explore/command.py
@@ -1,4 +1,4 @@
-"""The command that explores the switch of a map."""
+"""Command that checks the switch of an expert map by random walks."""
 
 import dataclasses
 import json
@@ -9,7 +9,7 @@
 
 
 def explore_command(**bounds):
-    """Print what the walks show and return the exit code.
+    """Print the finding of the random walks as JSON and return the exit code.
 
     Parameters
     ----------
@@ -19,7 +19,7 @@
     Returns
     -------
     code : int
-        1 if a step had two maps or a group did not run again.
+        1 if a step was begun with two maps or a group did not recover; 0 otherwise.
     """
     finding = explore(ExplorationPlan(**bounds))
     print(json.dumps(dataclasses.asdict(finding), indent=1))
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/explore/faults.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/explore/faults.py
@@ -1,4 +1,4 @@
-"""Faults planted into the agents' code, which the explorer has to find."""
+"""Faults planted into the agents' code, which the random walks must find."""
 
 from magnoliagrade.registry import Registry
 from magnoliagrade.wire import SwitchOutcome
@@ -10,28 +10,28 @@
 
 
 @planted_faults.register("none")
-class Sound:
-    """The product's own classes."""
+class UnmodifiedCode:
+    """Agents' classes without a planted fault."""
 
     member_class = GroupMember
     coordinator_class = SwitchCoordinator
 
 
-class _MemberWithoutRound(GroupMember):
+class _MemberReleasingEarly(GroupMember):
     __slots__ = ()
 
-    def _is_known_by_all(self, place):
+    def _is_known_by_all(self, switch_key):
         return True
 
 
 @planted_faults.register("no-known-round")
-class NoKnownRound(Sound):
-    """A rank begins the step of a switch as soon as it knows the outcome."""
+class ReleaseBeforeAllInformed(UnmodifiedCode):
+    """A rank begins the step of a switch once it, not every rank, knows the outcome."""
 
-    member_class = _MemberWithoutRound
+    member_class = _MemberReleasingEarly
 
 
-class _MemberWithoutSettledRound(GroupMember):
+class _MemberRunningEarly(GroupMember):
     __slots__ = ()
 
     def _may_run(self):
@@ -39,17 +39,17 @@
 
 
 @planted_faults.register("no-settled-round")
-class NoSettledRound(Sound):
-    """A rank runs in a new generation as soon as it has all answers."""
+class RunBeforeAllSettled(UnmodifiedCode):
+    """A rank runs in a new generation once it, not every rank, has settled."""
 
-    member_class = _MemberWithoutSettledRound
+    member_class = _MemberRunningEarly
 
 
-class _DecidingCoordinator(SwitchCoordinator):
+class _AbortingCoordinator(SwitchCoordinator):
     __slots__ = ()
 
     def resend(self):
-        """Give up a switch that takes long, whether or not the lease holds."""
+        """Resend orders and abort an armed switch, even if the lease has expired."""
         super().resend()
         if self.phase is not SwitchPhase.ARMING:
             return
@@ -64,7 +64,7 @@
 
 
 @planted_faults.register("coordinator-decides")
-class CoordinatorDecides(Sound):
-    """The outcome is learnt from the coordinator alone after its lease lapsed."""
+class CoordinatorAborts(UnmodifiedCode):
+    """A coordinator aborts a switch on its own, even after its lease has expired."""
 
-    coordinator_class = _DecidingCoordinator
+    coordinator_class = _AbortingCoordinator
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/explore/orders.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/explore/orders.py
@@ -1,4 +1,4 @@
-"""Orders to a rank that may fail before or after the rank has obeyed."""
+"""Orders to a rank that may fail before or after the rank carries them out."""
 
 from magnoliagrade.errors import ErrorKind, MagnoliagradeError
 
@@ -6,38 +6,38 @@
 
 
 class UnreliableOrders:
-    """A rank's orders, some of which get no answer.
+    """Orders of a rank, of which a random fraction gets no reply.
 
     Parameters
     ----------
     rank : Rank
-        The rank.
+        The rank that carries out the orders.
     rng : random.Random
-        Source of chance.
+        Random number generator.
     fails : callable
-        Returns the part of orders that fail now.
+        Returns the fraction of orders that currently fail, from 0 to 1.
     """
 
-    __slots__ = ("_fails", "_rank", "_rng")
+    __slots__ = ("_failure_rate", "_rank", "_rng")
 
-    def __init__(self, *, rank, rng, fails):
+    def __init__(self, *, rank, rng, failure_rate):
         self._rank = rank
         self._rng = rng
-        self._fails = fails
+        self._failure_rate = failure_rate
 
     def __getattr__(self, name):
-        """Return the rank's order of a name, which may then fail."""
+        """Return the rank's order of that name as a coroutine that may fail."""
         order = getattr(self._rank, name)
 
-        async def obey(*arguments, **options):
-            self._maybe_fail("before")
-            answer = await order(*arguments, **options)
-            self._maybe_fail("after")
-            return answer
+        async def execute(*arguments, **options):
+            self._fail_at_random("before")
+            reply = await order(*arguments, **options)
+            self._fail_at_random("after")
+            return reply
 
-        return obey
+        return execute
 
-    def _maybe_fail(self, moment):
-        if self._rng.random() < self._fails() / 2:
-            detail = f"no answer, {moment} the rank obeyed"
+    def _fail_at_random(self, moment):
+        if self._rng.random() < self._failure_rate() / 2:
+            detail = f"no reply: order failed {moment} the rank carried it out"
             raise MagnoliagradeError(ErrorKind.UPSTREAM_FAILED, detail)
