--- a/packages/magnoliagrade-standins/magnoliagrade_standins/ranks/__init__.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/ranks/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-in of a group of ranks that run in lock-step."""
+"""Stand-in for a group of ranks that run in lock-step."""
 
 from magnoliagrade_standins.ranks.group import RankGroup, StepRecord, find_map_conflict
 from magnoliagrade_standins.ranks.rank import Rank, StaleFence
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/ranks/command.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/ranks/command.py
@@ -1,24 +1,24 @@
-"""The command that runs a group of ranks as a process."""
+"""Command that serves a group of ranks as one process."""
 
 import aiohttp
 from magnoliagrade.clock import SystemClock
 from magnoliagrade.node import announce_ready, run_until_signal, start_site
 
-from magnoliagrade_standins.ranks.server import GroupProfile, RankProcess
+from magnoliagrade_standins.ranks.server import GroupProcess, GroupProfile
 from magnoliagrade_standins.weights import WeightClient
 
 __all__ = ["ranks_command"]
 
 
 def ranks_command(address, weights_url="", **profile):
-    """Serve a group of ranks, each on a port of its own, until SIGTERM.
+    """Serve a group of ranks, each on its own port, until SIGTERM.
 
     Parameters
     ----------
     address : str
-        `host:0` to listen on.
+        Address to listen on, as `host:0`; each rank gets a free port.
     weights_url : str
-        URL of a weight store shared with others; empty for one of its own.
+        URL of a weight store shared with other processes; empty for a local one.
     **profile
         Fields of `GroupProfile`.
     """
@@ -31,7 +31,7 @@
         if weights_url:
             sessions.append(aiohttp.ClientSession())
             weights = WeightClient(url=weights_url, session=sessions[0])
-        process = RankProcess(
+        process = GroupProcess(
             profile=GroupProfile(**profile), clock=SystemClock(), weights=weights
         )
         addresses = {}
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/ranks/group.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/ranks/group.py
@@ -1,4 +1,4 @@
-"""A group of ranks in lock-step and the record of the maps they used."""
+"""A group of ranks in lock-step and the record of the maps that they use."""
 
 from dataclasses import dataclass
 
@@ -7,18 +7,18 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StepRecord:
-    """One step begun by one rank.
+    """Record of a step begun by a rank.
 
     Parameters
     ----------
     origin : int
-        Start of the count of steps, as the group's agents name it.
+        Generation from which steps are counted, as in `GroupView`.
     generation : int
         Generation in which the rank ran.
     step : int
         Number of the step.
     rank : int
-        Rank.
+        Index of the rank.
     version : int
         Version of the map that the rank used.
     """
@@ -31,33 +31,33 @@
 
 
 class RankGroup:
-    """Ranks whose every step is a collective of all.
+    """Ranks of which each step is a collective operation of all.
 
     Parameters
     ----------
     ranks : list of Rank
-        The ranks by index.
+        The ranks, in the order of their indexes.
     """
 
-    __slots__ = ("_begun_ranks", "ranks", "records")
+    __slots__ = ("_ranks_by_step", "ranks", "records")
 
     def __init__(self, *, ranks):
         self.ranks = ranks
         self.records = []
-        self._begun_ranks = {}
+        self._ranks_by_step = {}
 
     def advance(self, index):
-        """Let a rank complete its step, or else begin the next one.
+        """Let a rank complete its begun step or, if it has none, begin the next one.
 
         Returns
         -------
-        moved : bool
-            Whether it did either.
+        has_advanced : bool
+            Whether the rank completed or began a step.
 
         Notes
         -----
-        A step completes on a rank once every rank of its generation has begun it,
-        also those that have died since: what they sent is on its way.
+        A step completes on a rank once every rank of its generation has begun it. Ranks
+        that have failed since count too, because they have already sent their data.
         """
         rank = self.ranks[index]
         if not rank.is_running:
@@ -67,8 +67,8 @@
         return self._begin(rank)
 
     def _complete(self, rank):
-        begun = self._begun_ranks.get((rank.generation, rank.begun), ())
-        if len(begun) < len(self.ranks):
+        begun_ranks = self._ranks_by_step.get((rank.generation, rank.begun), ())
+        if len(begun_ranks) < len(self.ranks):
             return False
         rank.completed = rank.begun
         return True
@@ -78,8 +78,8 @@
         if not rank.may_begin(step):
             return False
         rank.begun = step
-        self._begun_ranks.setdefault((rank.generation, step), set()).add(rank.index)
-        self._begun_ranks.pop((rank.generation, step - 2), None)
+        self._ranks_by_step.setdefault((rank.generation, step), set()).add(rank.index)
+        self._ranks_by_step.pop((rank.generation, step - 2), None)
         record = StepRecord(
             origin=rank.view.origin,
             generation=rank.generation,
@@ -92,17 +92,17 @@
 
 
 def find_map_conflict(records):
-    """Return two records of one step with different maps, or None.
+    """Return the first two records of one step with different maps, or None.
 
     Parameters
     ----------
     records : iterable of StepRecord
-        Steps begun by any rank, also those given up later.
+        Steps begun by any rank, including steps abandoned later.
 
     Returns
     -------
-    pair : tuple of StepRecord or None
-        The first contradiction.
+    conflict : tuple of StepRecord or None
+        First record of the step and the first record that contradicts it.
     """
     first_by_step = {}
     for record in records:
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/ranks/loads.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/ranks/loads.py
@@ -1,4 +1,4 @@
-"""The experts that a rank holds and is loading."""
+"""Experts that a rank holds or is loading."""
 
 import numpy as np
 from magnoliagrade.algorithms.balance import unpack_placement
@@ -7,19 +7,25 @@
 
 
 class RankLoads:
-    """Maps that a rank has loaded or is loading from the weight store.
+    """Loads of a rank from the weight store, one for each expert map.
 
     Parameters
     ----------
     index : int
-        Rank.
-    store : WeightStore
-        Where experts come from.
+        Index of the rank.
+    store : WeightStore or WeightClient
+        Weight store from which experts are loaded.
     expert_bytes : int
-        Size of one expert of one layer.
+        Size of one expert of one layer, in bytes.
     """
 
-    __slots__ = ("_expert_bytes", "_held", "_index", "_load_by_version", "_store")
+    __slots__ = (
+        "_expert_bytes",
+        "_held_experts",
+        "_index",
+        "_load_by_version",
+        "_store",
+    )
 
     def __init__(self, *, index, store, expert_bytes):
         self._index = index
@@ -28,12 +34,16 @@
         self.forget()
 
     def forget(self):
-        """Lose everything, as when the rank restarts."""
-        self._held = None
+        """Clear all held experts and loads, as on a restart of the rank."""
+        self._held_experts = None
         self._load_by_version = {}
 
     def load(self, version, packed_map):
-        """Load what a map needs; return whether it is all there."""
+        """Start or retry the load of a map's experts; return whether it is complete.
+
+        The load covers only experts that the rank does not hold. The first load after a
+        restart is of kind `model`, further loads are of kind `expert`.
+        """
         self._store.progress()
         load = self._load_by_version.get(version)
         if load is not None and load.has_failed:
@@ -42,10 +52,14 @@
             )
         elif load is None:
             wanted = unpack_placement(packed_map)[:, self._index]
-            held = np.zeros_like(wanted) if self._held is None else self._held
+            held = (
+                np.zeros_like(wanted)
+                if self._held_experts is None
+                else self._held_experts
+            )
             missing = int((wanted & ~held).sum())
-            kind = "model" if self._held is None else "expert"
-            self._held = wanted | held
+            kind = "model" if self._held_experts is None else "expert"
+            self._held_experts = wanted | held
             self._load_by_version[version] = self._store.submit(
                 kind, missing * self._expert_bytes
             )
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/ranks/rank.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/ranks/rank.py
@@ -1,4 +1,4 @@
-"""One rank: the gate before each step and the orders of its agent."""
+"""A rank: its gate before each step and the orders that its agent gives."""
 
 from dataclasses import replace
 
@@ -9,32 +9,34 @@
 
 
 class StaleFence(Exception):
-    """An order carries an older fencing number than an earlier one."""
+    """An order carries a lower fencing token than an earlier order."""
 
 
 class Rank:
-    """A rank's gate, which its agent's orders open and close.
+    """A rank whose gate before each step is opened and closed by its agent.
+
+    It carries out the orders of `magnoliagrade_agent.group.orders.RankOrders`.
 
     Parameters
     ----------
     index : int
-        Position in the group.
+        Index of the rank in its group, from 0.
     honours_fence : bool
-        Whether it refuses orders with an old fencing number.
+        Whether the rank rejects orders with a stale fencing token.
     load : callable, optional
-        Called with a version and a packed map, returns whether it is loaded; by
-        default maps are there at once.
+        Called with a version and a packed map, returns whether the map is loaded; by
+        default every map counts as loaded.
 
     Notes
     -----
-    Between an arming and its outcome the gate is closed at the step of the switch;
-    at all other times the rank steps on without asking anyone.
+    The gate is closed at the step of a switch from its arming until its release. At
+    all other times the rank begins steps without an order.
     """
 
     __slots__ = (
         "_load",
         "begun",
-        "boots",
+        "boot_count",
         "completed",
         "fence",
         "generation",
@@ -49,12 +51,12 @@
         self.index = index
         self.honours_fence = honours_fence
         self._load = load or (lambda version, packed_map: True)
-        self.boots = 0
+        self.boot_count = 0
         self.restart()
 
     def restart(self):
-        """Start anew: forget everything and begin nothing until told to run."""
-        self.boots += 1
+        """Reset all state; the rank begins no step before the order to run."""
+        self.boot_count += 1
         self.begun = 0
         self.completed = 0
         self.fence = 0
@@ -64,42 +66,51 @@
         self.view = GroupView()
 
     def check_fence(self, fence):
-        """Refuse an order of an agent that has been replaced.
+        """Store the fencing token of an order, or reject a stale one.
+
+        Parameters
+        ----------
+        fence : int
+            Fencing token of the order.
 
         Raises
         ------
         StaleFence
-            If the number is old and this rank honours fencing numbers.
+            If the token is lower than that of an earlier order and this rank honours
+            fencing tokens.
         """
         if fence < self.fence and self.honours_fence:
-            raise StaleFence(f"fence {fence} is older than {self.fence}")
+            raise StaleFence(f"fencing token {fence} is lower than {self.fence}")
         self.fence = max(fence, self.fence)
 
     def may_begin(self, step):
-        """Return whether the gate is open for a step."""
+        """Return whether the rank runs and its gate is open for a step."""
         is_held = self.hold_step and step >= self.hold_step
         return self.is_running and not is_held
 
     async def pause(self):
-        """Begin no further step and give up a begun one."""
+        """Begin no further step and abandon a begun one; return the `RankState`."""
         self.is_running = False
         self.begun = self.completed
         return self.state()
 
     def state(self):
-        """Return what the rank says of itself."""
+        """Return the `RankState` that the rank reports."""
         return RankState(
-            boot_id=f"rank-{self.index}-{self.boots}",
+            boot_id=f"rank-{self.index}-{self.boot_count}",
             begun=self.begun,
             view=replace(self.view, completed=self.completed),
         )
 
     async def stage(self, version, packed_map):
-        """Load the experts of a map; return whether they are all there."""
+        """Load the experts of a map; return whether all of them are loaded."""
         return self._load(version, packed_map)
 
     async def hold(self, view, *, after_step):
-        """Close the gate at the step of an open switch."""
+        """Close the gate at the step of an open switch; return whether it is closed.
+
+        The order is rejected if the step has begun or if `after_step` has not begun.
+        """
         step = view.switch.step
         if not self.is_running or step <= self.begun or self.begun < after_step:
             return False
@@ -108,17 +119,17 @@
         return True
 
     async def note_outcome(self, view):
-        """Keep the outcome of the newest switch."""
+        """Store the outcome of the newest switch."""
         self._check_settled()
         self.view = view
 
     async def release(self, step):
-        """Open the gate for a held step."""
+        """Open the gate if it is closed at a step."""
         if self.hold_step == step:
             self.hold_step = 0
 
     async def settle(self, view):
-        """Keep what a new generation starts from."""
+        """Store the view from which a new generation starts."""
         self.view = view
         self.completed = view.completed
         self.begun = view.completed
@@ -128,7 +139,7 @@
             self.hold_step = switch.step
 
     async def run(self, generation, step):
-        """Run from a step on, if the maps are loaded."""
+        """Run from a step on; return whether the maps are loaded and the rank runs."""
         self._check_settled()
         if self.is_running and self.generation == generation:
             return True
@@ -142,7 +153,7 @@
         return True
 
     def _check_settled(self):
-        # The agent may not have noticed yet that the rank has restarted.
+        # The agent may not have detected yet that the rank has restarted.
         if not self.view.origin:
-            detail = f"rank {self.index} has settled nothing since its start"
+            detail = f"rank {self.index} has settled no view since its start"
             raise MagnoliagradeError(ErrorKind.FENCED, detail)
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/ranks/server.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/ranks/server.py
@@ -18,31 +18,33 @@
 from magnoliagrade_standins.ranks.rank import Rank, StaleFence
 from magnoliagrade_standins.weights import WeightStore
 
-__all__ = ["GroupProfile", "RankProcess"]
+__all__ = ["GroupProfile", "GroupProcess"]
 
+# Tokens per second from which the reported counts of each expert are computed.
 TOKENS_PER_S = 2000.0
 
 
 @dataclass(slots=True, kw_only=True)
 class GroupProfile:
-    """Sizes and speeds of the group.
+    """Sizes and speeds of a group of ranks.
 
     Parameters
     ----------
     ranks, experts, layers : int
-        Sizes.
+        Numbers of ranks, of experts in each layer and of layers.
     step_s : float
-        Length of a step when all ranks are equally loaded.
+        Duration of a step in seconds when all ranks are equally loaded.
     seed : int
-        Seed of the experts' popularity.
+        Seed of the random popularity of experts.
     drift : float
-        Seconds of the popularity's day that pass in a second.
+        Seconds of the simulated day, over which popularity drifts, that pass in each
+        second.
     expert_bytes : int
-        Size of one expert of one layer.
+        Size of one expert of one layer, in bytes.
     weight_bytes_per_s : float
-        Rate of the weight store.
+        Rate of the weight store, in bytes per second.
     honours_fence : bool
-        Whether ranks refuse orders with an old fencing number.
+        Whether ranks reject orders with a stale fencing token.
     """
 
     ranks: int = 4
@@ -56,8 +58,8 @@
     honours_fence: bool = True
 
 
-class RankProcess:
-    """A group in lock-step with its engines.
+class GroupProcess:
+    """A group of ranks in lock-step, with an engine for each rank.
 
     Parameters
     ----------
@@ -66,7 +68,8 @@
     clock : Clock
         Source of time.
     weights : WeightClient, optional
-        Weight store that is shared with others; one of its own by default.
+        Client of a weight store shared with other processes; a local store by
+        default.
     """
 
     def __init__(self, *, profile, clock, weights=None):
@@ -95,50 +98,54 @@
         self.speeds = np.ones(profile.ranks)
         self.stalled = set()
         self.stall_s = 0.0
-        self.counted_at = [clock.monotonic()] * profile.ranks
+        self.counts_read_at = [clock.monotonic()] * profile.ranks
 
     async def run(self):
-        """Step for ever."""
+        """Advance all ranks that are not stalled until cancelled.
+
+        In each round a rank can complete one step and begin the next. The round lasts
+        `step_s` times the skew, because the slowest rank delays all others.
+        """
         while True:
             started = self.clock.monotonic()
             for _ in range(2):
-                moved = [
+                advanced = [
                     self.group.advance(rank)
                     for rank in range(self.profile.ranks)
                     if rank not in self.stalled
                 ]
-            if not any(moved) and self.group.ranks[0].is_running:
+            if not any(advanced) and self.group.ranks[0].is_running:
                 self.stall_s += self.profile.step_s
-            length = self.profile.step_s * self.skew()
-            await self.clock.sleep(length - (self.clock.monotonic() - started))
+            step_s = self.profile.step_s * self.skew()
+            await self.clock.sleep(step_s - (self.clock.monotonic() - started))
 
-    def rates(self):
-        """Return the experts' popularity now."""
+    def expert_rates(self):
+        """Return the fraction of tokens that each expert of each layer gets now."""
         return self.popularity.at(self.clock.monotonic() * self.profile.drift % DAY_S)
 
-    def times(self):
-        """Return the work of each rank by layer, under rank 0's map."""
-        known = self.group.ranks[0].view
-        version = known.version_at(self.group.ranks[0].begun)
-        packed_map = known.map_by_version.get(version)
+    def layer_times(self):
+        """Return the relative time of each rank in each layer, with rank 0's map."""
+        view = self.group.ranks[0].view
+        version = view.version_at(self.group.ranks[0].begun)
+        packed_map = view.map_by_version.get(version)
         if not packed_map:
             return np.ones((self.profile.layers, self.profile.ranks))
-        rates = self.rates()
-        return rank_times(unpack_placement(packed_map), rates, self.speeds)
+        expert_rates = self.expert_rates()
+        return rank_times(unpack_placement(packed_map), expert_rates, self.speeds)
 
     def skew(self):
-        """Return the slowest over the mean time of ranks."""
-        times = self.times()
-        return float(times.max(axis=1).sum() / times.mean(axis=1).sum())
+        """Return the slowest rank's time over the mean, each summed over the layers."""
+        layer_times = self.layer_times()
+        return float(layer_times.max(axis=1).sum() / layer_times.mean(axis=1).sum())
 
     def counts(self, index):
-        """Return what a rank counted since it was last asked."""
+        """Return the token counts and work of a rank since its last counts order."""
         now = self.clock.monotonic()
-        seconds = max(1e-3, now - self.counted_at[index])
-        self.counted_at[index] = now
-        counts = self.rates() * TOKENS_PER_S * seconds
-        times = self.times()
-        share = times.sum(axis=0)[index] / times.max(axis=1).sum()
+        seconds = max(1e-3, now - self.counts_read_at[index])
+        self.counts_read_at[index] = now
+        counts = self.expert_rates() * TOKENS_PER_S * seconds
+        layer_times = self.layer_times()
+        share = layer_times.sum(axis=0)[index] / layer_times.max(axis=1).sum()
         return {
             "counts": counts.round(1).tolist(),
             "seconds": seconds,
@@ -154,7 +161,7 @@
         self.engines[index].restart()
 
     def record(self):
-        """Return the record of the maps used, as the check needs it."""
+        """Return the record of the maps used, with the pace and the loaded bytes."""
         return {
             "records": [dataclasses.asdict(r) for r in self.group.records],
             **self.pace(),
@@ -162,7 +169,10 @@
         }
 
     def pace(self):
-        """Return how fast the group steps; cheap, so that it can be read often."""
+        """Return stalls, skew and completed steps, cheaply enough for frequent polling.
+
+        The list of step records, which grows with each step, is left out.
+        """
         return {
             "stall_s": self.stall_s,
             "skew": self.skew(),
@@ -170,7 +180,7 @@
         }
 
     def make_app(self, index):
-        """Return the application of one rank: its engine and its orders."""
+        """Return the HTTP application of a rank: its engine and its orders."""
         app = make_engine_app(self.engines[index])
         rank = self.group.ranks[index]
 
@@ -216,7 +226,7 @@
         return app
 
     def start(self):
-        """Start stepping; return the tasks, to be kept referenced."""
+        """Start the tasks of the group and return them; the caller keeps references."""
         runs = [self.run(), *(engine.run() for engine in self.engines)]
         return [asyncio.create_task(run) for run in runs]
 
@@ -226,7 +236,7 @@
 
 
 async def _stage(rank, fields):
-    packed_map = _bytes(fields["map"])
+    packed_map = _decode_bytes(fields["map"])
     return {"accepted": await rank.stage(fields["version"], packed_map)}
 
 
@@ -274,5 +284,5 @@
     }
 
 
-def _bytes(text):
+def _decode_bytes(text):
     return base64.b64decode(text)
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/ranks/site.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/ranks/site.py
@@ -1,4 +1,4 @@
-"""A site with one group of ranks beside its other endpoints."""
+"""A site that runs a group of ranks in addition to its other endpoints."""
 
 import socket
 
@@ -25,7 +25,7 @@
     policy : str
         Rebalancing policy.
     interval_s : float
-        Seconds between plans.
+        Seconds between rebalancing plans.
     """
     return f"""
 [group {GROUP}]
@@ -56,18 +56,18 @@
 
 
 class GroupSite(Site):
-    """Running processes of a site with one group.
+    """Running processes of a site with one group of ranks.
 
     Parameters
     ----------
     plan : SitePlan
-        Its configuration has the section of `group_configuration`.
+        Plan whose configuration contains the section of `group_configuration`.
     ranks : int
-        Number of ranks.
+        Number of ranks of the group.
     options : dict, optional
         Further fields of the group's `GroupProfile`.
     data_centre : str
-        Where the group stands.
+        Name of the data centre in which the group runs.
     """
 
     __slots__ = ("data_centre", "options", "ranks")
@@ -83,7 +83,7 @@
         return f"{self.data_centre}-rank-{rank}"
 
     async def group_record(self):
-        """Return the group's own record of the maps that it used."""
+        """Return the record of the maps that the group used, as the ranks keep it."""
         async with self.session.get(f"{self._rank_url(0)}/rank/record") as response:
             return await response.json()
 
@@ -93,18 +93,18 @@
             return await response.json()
 
     async def hold_step(self, rank):
-        """Return the step that a rank is held at, 0 for none."""
+        """Return the step at which a rank is held, 0 for none."""
         async with self.session.get(f"{self._rank_url(rank)}/rank/state") as response:
             return (await response.json())["hold_step"]
 
     async def control_rank(self, rank, **fields):
-        """Restart, stall or slow a rank."""
+        """Restart or stall a rank or set its speed, as the fields say."""
         url = f"{self._rank_url(rank)}/rank/control"
         async with self.session.post(url, json=fields) as response:
             response.raise_for_status()
 
     async def restart_agent(self, rank):
-        """Kill a rank's agent and start it anew."""
+        """Kill a rank's agent and start it again."""
         agent = self.agent_by_name[self.name_of(rank)]
         await agent.kill()
         await self.start_listed(agent, "agent")
@@ -127,12 +127,13 @@
             await self._start_rank_agent(rank, name, addresses)
 
     async def _address_for_control(self, name):
-        # Agents of a group name each other in their settings, before they listen.
+        # The settings of each agent contain the control addresses of all agents of the
+        # group, so the addresses are needed before the agents listen.
         if self.proxy is not None:
             return await self._open(f"{name}/control")
-        with socket.socket() as free:
-            free.bind(("127.0.0.1", 0))
-            return f"127.0.0.1:{free.getsockname()[1]}"
+        with socket.socket() as listener:
+            listener.bind(("127.0.0.1", 0))
+            return f"127.0.0.1:{listener.getsockname()[1]}"
 
     async def _start_rank_agent(self, rank, name, addresses):
         listen = await self._listen_settings(name)
