--- a/packages/magnoliagrade-standins/magnoliagrade_standins/weights/__init__.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/weights/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-in of the rate-limited weight store."""
+"""Stand-in for a rate-limited weight store."""
 
 from magnoliagrade_standins.weights.server import WeightClient, make_weights_app
 from magnoliagrade_standins.weights.store import WeightLoad, WeightStore
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/weights/server.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/weights/server.py
@@ -1,4 +1,4 @@
-"""HTTP face of the weight store, and a client with the store's own calls."""
+"""HTTP interface of the weight store, and a client with the same methods."""
 
 import asyncio
 
@@ -9,16 +9,17 @@
 
 __all__ = ["WeightClient", "make_weights_app"]
 
-POLL_S = 0.01
+# Interval at which the server checks whether a load is complete.
+POLL_INTERVAL_S = 0.01
 
 
 def make_weights_app(store, clock):
-    """Return the application that serves a weight store.
+    """Return the HTTP application that serves a weight store.
 
     Parameters
     ----------
     store : WeightStore
-        The store.
+        Weight store that carries out the loads.
     clock : Clock
         Source of time.
     """
@@ -27,9 +28,9 @@
         kind = request.query["kind"]
         if kind not in store.bytes_loaded_by_kind:
             return web.json_response({"unknown": kind}, status=400)
-        begun = store.submit(kind, int(request.query["bytes"]))
-        while not begun.is_done:
-            await clock.sleep(POLL_S)
+        weight_load = store.submit(kind, int(request.query["bytes"]))
+        while not weight_load.is_done:
+            await clock.sleep(POLL_INTERVAL_S)
             store.progress()
         return web.json_response({"kind": kind})
 
@@ -44,14 +45,14 @@
 
 
 class WeightClient:
-    """Loads over HTTP; has the calls of `WeightStore`.
+    """Client that loads over HTTP, with the methods of `WeightStore`.
 
     Parameters
     ----------
     url : str
         Base URL of the store.
     session : aiohttp.ClientSession
-        Session whose connections are used.
+        Client session for the requests; the caller closes it.
     """
 
     __slots__ = ("_session", "_tasks", "_url", "bytes_loaded_by_kind")
@@ -63,7 +64,15 @@
         self.bytes_loaded_by_kind = {"model": 0.0, "expert": 0.0}
 
     def submit(self, kind, size_bytes):
-        """Begin a load and return it."""
+        """Start a load and return it.
+
+        Parameters
+        ----------
+        kind : str
+            `model` or `expert`.
+        size_bytes : int
+            Bytes to load; 0 sends no request.
+        """
         load = WeightLoad(kind=kind, bytes_left=float(size_bytes))
         if size_bytes:
             task = asyncio.create_task(self._load(load))
@@ -72,7 +81,7 @@
         return load
 
     def progress(self):
-        """Do nothing: loads end by themselves."""
+        """Do nothing; each load completes in a background task."""
 
     async def _load(self, load):
         params = {"kind": load.kind, "bytes": str(int(load.bytes_left))}
@@ -81,7 +90,7 @@
             async with self._session.post(url, params=params) as response:
                 response.raise_for_status()
         except aiohttp.ClientError:
-            # The rank asks again with its next order to stage.
+            # The rank submits the load again on its next order to stage.
             load.has_failed = True
             return
         self.bytes_loaded_by_kind[load.kind] += load.bytes_left
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/weights/store.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/weights/store.py
@@ -1,4 +1,4 @@
-"""A weight store whose rate all loads share; models go before experts."""
+"""A weight store with one rate for all loads; models load before experts."""
 
 from dataclasses import dataclass
 
@@ -7,16 +7,16 @@
 
 @dataclass(slots=True, kw_only=True)
 class WeightLoad:
-    """One load in progress.
+    """A load from the weight store.
 
     Parameters
     ----------
     kind : str
-        `model` at a cold start, or `expert` for rebalancing.
+        `model` for a cold start, `expert` for rebalancing.
     bytes_left : float
-        Bytes that have not arrived yet.
+        Bytes that have not been loaded yet.
     has_failed : bool
-        Whether it has broken off.
+        Whether the load has failed before it was complete.
     """
 
     kind: str
@@ -25,19 +25,19 @@
 
     @property
     def is_done(self):
-        """Whether everything has arrived."""
+        """Return whether all bytes have been loaded."""
         return self.bytes_left <= 0
 
 
 class WeightStore:
-    """Loads in order of their kind, then of their arrival.
+    """Rate-limited store that serves models first, then in order of submission.
 
     Parameters
     ----------
     clock : Clock
         Source of time.
     bytes_per_s : float
-        Rate of all loads together.
+        Total rate of all loads, in bytes per second.
 
     Examples
     --------
@@ -47,17 +47,31 @@
     True
     """
 
-    __slots__ = ("_at", "_clock", "_loads", "bytes_loaded_by_kind", "bytes_per_s")
+    __slots__ = (
+        "_clock",
+        "_loads",
+        "_progressed_at",
+        "bytes_loaded_by_kind",
+        "bytes_per_s",
+    )
 
     def __init__(self, *, clock, bytes_per_s):
         self._clock = clock
-        self._at = clock.monotonic()
+        self._progressed_at = clock.monotonic()
         self._loads = []
         self.bytes_per_s = bytes_per_s
         self.bytes_loaded_by_kind = {"model": 0.0, "expert": 0.0}
 
     def submit(self, kind, size_bytes):
-        """Begin a load and return it."""
+        """Start a load and return it.
+
+        Parameters
+        ----------
+        kind : str
+            `model` or `expert`.
+        size_bytes : int
+            Bytes to load.
+        """
         self.progress()
         load = WeightLoad(kind=kind, bytes_left=float(size_bytes))
         self._loads.append(load)
@@ -65,13 +79,13 @@
         return load
 
     def progress(self):
-        """Hand out the bytes of the time that has passed."""
+        """Distribute the bytes of the time since the last call among the loads."""
         now = self._clock.monotonic()
-        free = (now - self._at) * self.bytes_per_s
-        self._at = now
+        budget_bytes = (now - self._progressed_at) * self.bytes_per_s
+        self._progressed_at = now
         for load in self._loads:
-            given = min(free, load.bytes_left)
-            load.bytes_left -= given
-            free -= given
-            self.bytes_loaded_by_kind[load.kind] += given
+            loaded_bytes = min(budget_bytes, load.bytes_left)
+            load.bytes_left -= loaded_bytes
+            budget_bytes -= loaded_bytes
+            self.bytes_loaded_by_kind[load.kind] += loaded_bytes
         self._loads = [k for k in self._loads if not k.is_done]
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/weights/tests/test_store.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/weights/tests/test_store.py
@@ -11,7 +11,7 @@
 )
 
 
-def test_models_go_before_experts():
+def test_models_load_before_experts():
     async def main():
         clock = ManualClock()
         store = WeightStore(clock=clock, bytes_per_s=100.0)
@@ -27,11 +27,11 @@
     asyncio.run(main())
 
 
-def test_clients_share_the_rate_and_models_go_first():
-    asyncio.run(_load_by_http())
+def test_clients_share_the_rate_and_models_load_first():
+    asyncio.run(_load_over_http())
 
 
-async def _load_by_http():
+async def _load_over_http():
     clock = SystemClock()
     store = WeightStore(clock=clock, bytes_per_s=1e6)
     runner, address = await start_site(make_weights_app(store, clock), "127.0.0.1:0")
