--- a/packages/magnoliagrade-standins/magnoliagrade_standins/engine/__init__.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/engine/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-in of a model engine."""
+"""Stand-in for a model engine."""
 
 from magnoliagrade_standins.engine.engine import (
     Engine,
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/engine/engine.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/engine/engine.py
@@ -1,4 +1,4 @@
-"""A model engine: continuous batching, cold start, prefix cache, records."""
+"""Model engine with continuous batching, cold start, prefix cache and records."""
 
 import asyncio
 from collections import OrderedDict, deque
@@ -6,32 +6,32 @@
 
 from magnoliagrade.algorithms import hash64
 
-__all__ = ["Engine", "EngineFell", "EngineProfile", "EngineRequest", "expected_text"]
+__all__ = ["Engine", "EngineCrashed", "EngineProfile", "EngineRequest", "expected_text"]
 
 
 @dataclass(slots=True, kw_only=True)
 class EngineProfile:
-    """How fast an engine is and what it bears.
+    """Speed and capacity of an engine.
 
     Parameters
     ----------
     step_base_s : float
-        Time of a step with an empty batch.
+        Duration of a step with an empty batch, in seconds.
     decode_s : float
-        Additional time per running request.
+        Additional seconds per running request.
     prefill_s : float
-        Additional time per prompt token that is not cached.
+        Additional seconds per prompt token that is not cached.
     cold_tokens : int
-        Tokens in flight that the engine bears right after start.
+        Capacity of a newly started engine, in tokens in flight.
     warm_tokens : int
-        Tokens in flight that it bears when warm.
+        Capacity of a warm engine, in tokens in flight.
     warm_after_tokens : int
-        Generated tokens after which it is warm; in between, what it bears grows
-        in proportion.
+        Generated tokens after which the engine is warm. Until then its capacity grows
+        linearly with the generated tokens.
     cached_prefixes : int
-        Prefixes that the cache holds.
+        Maximum number of prefixes in the cache.
     report_lag_s : float
-        Age of a load report.
+        Age at which a load report is served, in seconds.
     """
 
     step_base_s: float = 0.004
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class EngineRequest:
-    """One request inside the engine.
+    """A request in the batch of an engine.
 
     Parameters
     ----------
@@ -55,15 +55,15 @@
     attempt : str
         Attempt id.
     prompt_tokens : int
-        Tokens of the prompt.
+        Number of tokens of the prompt.
     output_tokens : int
-        Tokens to generate.
+        Number of tokens to generate.
     prefix : int
-        Hash of the prompt's head.
+        Hash of the first characters of the prompt, the key in the prefix cache.
     done_tokens : int
-        Tokens generated so far; starts above 0 when resumed.
+        Number of tokens generated so far; above 0 from the start if resumed.
     priority : int
-        Higher goes first.
+        Priority of the request; higher values are more urgent.
     """
 
     id: str
@@ -77,48 +77,48 @@
     tokens: asyncio.Queue = field(default_factory=asyncio.Queue)
 
     @property
-    def weight(self):
+    def held_tokens(self):
         """Return the tokens that the request holds in flight."""
         return self.prompt_tokens + self.output_tokens
 
 
-class EngineFell(Exception):
-    """The engine fell over; every stream breaks."""
+class EngineCrashed(Exception):
+    """The engine has crashed or restarted; each stream is cut off."""
 
 
 def expected_text(request_id, index):
-    """Return the token at an index of the answer to a request.
+    """Return the token at an index of the response to a request.
 
     Parameters
     ----------
     request_id : str
         Request id.
     index : int
-        Position from 0.
+        Position of the token, from 0.
     """
     return f"{hash64(f'{request_id} {index}') & 0xFFFF:04x} "
 
 
 class Engine:
-    """A batch of requests that advances step by step.
+    """Engine that generates tokens for a batch of requests step by step.
 
     Parameters
     ----------
     profile : EngineProfile
-        Speed and limits.
+        Speed and capacity.
     clock : Clock
         Source of time.
     name : str
-        Name, part of the boot id.
+        Name of the engine, the first part of its boot id.
     """
 
     __slots__ = (
-        "_boots",
+        "_boot_count",
         "_cache",
         "_clock",
+        "_load_reports",
         "_name",
-        "_reports",
-        "_wake",
+        "_work_available",
         "cache_hits",
         "cache_lookups",
         "falls",
@@ -135,9 +135,9 @@
         self.profile = profile
         self._clock = clock
         self._name = name
-        self._boots = 0
-        self._wake = asyncio.Event()
-        self._reports = deque()
+        self._boot_count = 0
+        self._work_available = asyncio.Event()
+        self._load_reports = deque()
         self.records = []
         self.falls = 0
         self.peak_load = 0.0
@@ -149,28 +149,34 @@
 
     @property
     def boot_id(self):
-        """Return an id that changes whenever the engine starts anew."""
-        return f"{self._name}-{self._boots}"
+        """Return an id that changes with each start of the engine."""
+        return f"{self._name}-{self._boot_count}"
 
     @property
-    def bears_tokens(self):
-        """Return the tokens in flight that the engine bears now."""
-        p = self.profile
-        warmth = min(1.0, self.generated_tokens / max(1, p.warm_after_tokens))
-        return p.cold_tokens + warmth * (p.warm_tokens - p.cold_tokens)
+    def capacity_tokens(self):
+        """Return the current capacity of the engine, in tokens in flight."""
+        profile = self.profile
+        warm_fraction = min(
+            1.0, self.generated_tokens / max(1, profile.warm_after_tokens)
+        )
+        return profile.cold_tokens + warm_fraction * (
+            profile.warm_tokens - profile.cold_tokens
+        )
 
     @property
     def tokens_in_flight(self):
-        """Return the tokens that running requests hold."""
-        return sum(r.weight for r in self.running)
+        """Return the tokens that all running requests hold in flight."""
+        return sum(r.held_tokens for r in self.running)
 
     def submit(self, request):
-        """Take a request into the batch; fall over if that is too much.
+        """Add a request to the batch; crash and restart above the capacity.
+
+        A single running request never crashes the engine.
 
         Parameters
         ----------
         request : EngineRequest
-            The request.
+            Request whose `tokens` queue receives the generated tokens.
         """
         self.records.append(
             {
@@ -182,36 +188,40 @@
             }
         )
         self.running.append(request)
-        self.peak_load = max(self.peak_load, self.tokens_in_flight / self.bears_tokens)
-        if self.tokens_in_flight > self.bears_tokens and len(self.running) > 1:
+        self.peak_load = max(
+            self.peak_load, self.tokens_in_flight / self.capacity_tokens
+        )
+        if self.tokens_in_flight > self.capacity_tokens and len(self.running) > 1:
             self.falls += 1
             self.restart()
             return
-        self._wake.set()
+        self._work_available.set()
 
     def cancel(self, request):
-        """Take a request out of the batch."""
+        """Remove a request from the batch, if it is still running."""
         if request in self.running:
             self.running.remove(request)
 
     def restart(self):
-        """Start anew: cold, empty cache, every stream broken."""
-        broken = self.running
+        """Restart cold with an empty cache, and cut off each running stream."""
+        interrupted = self.running
         self._boot()
-        for request in broken:
-            request.tokens.put_nowait(EngineFell())
+        for request in interrupted:
+            request.tokens.put_nowait(EngineCrashed())
 
     async def run(self):
-        """Advance the batch for as long as there is work."""
+        """Advance the batch step by step until cancelled; wait while it is empty."""
         while True:
             if not self.running:
-                self._wake.clear()
-                await self._wake.wait()
+                self._work_available.clear()
+                await self._work_available.wait()
             await self._clock.sleep(self._begin_step() * self.step_scale)
             self._end_step()
 
     def load_report(self):
-        """Return the newest report that is old enough to be out.
+        """Return the newest load report that is at least `report_lag_s` old.
+
+        The oldest report is returned while none is that old.
 
         Returns
         -------
@@ -219,19 +229,22 @@
             Fields as in docs/PLATFORM.md.
         """
         now = self._clock.monotonic()
-        self._reports.append((now, self._current_report()))
-        lag = self.profile.report_lag_s
-        while len(self._reports) > 1 and self._reports[1][0] <= now - lag:
-            self._reports.popleft()
-        at, report = self._reports[0]
-        return {**report, "age_s": now - at}
+        self._load_reports.append((now, self._current_report()))
+        report_lag_s = self.profile.report_lag_s
+        while (
+            len(self._load_reports) > 1
+            and self._load_reports[1][0] <= now - report_lag_s
+        ):
+            self._load_reports.popleft()
+        taken_at, report = self._load_reports[0]
+        return {**report, "age_s": now - taken_at}
 
     def _boot(self):
-        self._boots += 1
+        self._boot_count += 1
         self._cache = OrderedDict()
         self.running = []
         self.generated_tokens = 0
-        self._reports.clear()
+        self._load_reports.clear()
 
     def _current_report(self):
         return {
@@ -243,11 +256,15 @@
         }
 
     def _begin_step(self):
-        p = self.profile
+        profile = self.profile
         prefill = sum(self._prefill_tokens(r) for r in self.running)
         for request in self.running:
             request.is_prefilled = True
-        return p.step_base_s + p.decode_s * len(self.running) + p.prefill_s * prefill
+        return (
+            profile.step_base_s
+            + profile.decode_s * len(self.running)
+            + profile.prefill_s * prefill
+        )
 
     def _prefill_tokens(self, request):
         if request.is_prefilled:
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/engine/server.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/engine/server.py
@@ -1,4 +1,4 @@
-"""HTTP face of the engine stand-in; docs/PLATFORM.md gives the protocol."""
+"""HTTP interface of the engine stand-in; docs/PLATFORM.md gives the protocol."""
 
 import json
 
@@ -6,7 +6,7 @@
 from magnoliagrade.algorithms import hash64
 
 from magnoliagrade_standins.engine.engine import (
-    EngineFell,
+    EngineCrashed,
     EngineRequest,
     expected_text,
 )
@@ -19,19 +19,23 @@
 
 __all__ = ["make_engine_app"]
 
+# The tokens of a prompt are estimated as its length divided by this number.
 BYTES_PER_TOKEN = 4
+# Number of tokens generated for a request without `max_tokens`.
 DEFAULT_OUTPUT_TOKENS = 128
+# Prompts whose first characters, up to this number, are equal share a prefix.
 PREFIX_BYTES = 256
-TOKENS_BEFORE_FAULT = 3
+# A stream with the fault `drop` or `truncate` ends after this many tokens.
+TOKENS_BEFORE_CUT_OFF = 3
 
 
 def make_engine_app(engine):
-    """Return the application that serves an engine.
+    """Return the HTTP application that serves an engine.
 
     Parameters
     ----------
     engine : Engine
-        A running engine.
+        Engine that generates the responses; the caller runs it.
     """
     faults = AnswerFaults()
 
@@ -42,7 +46,7 @@
         try:
             if fields.get("stream"):
                 return await _stream(http_request, request, faults)
-            return await _whole(http_request, request, faults)
+            return await _complete(http_request, request, faults)
         finally:
             engine.cancel(request)
 
@@ -53,13 +57,13 @@
         return web.json_response({**_record(engine), "faults": faults.given})
 
     async def control(http_request):
-        order = await http_request.json()
-        if order.get("restart"):
+        fields = await http_request.json()
+        if fields.get("restart"):
             engine.restart()
-        if "faults" in order:
-            faults.set(order["faults"])
-        if "step_scale" in order:
-            engine.step_scale = float(order["step_scale"])
+        if "faults" in fields:
+            faults.set(fields["faults"])
+        if "step_scale" in fields:
+            engine.step_scale = float(fields["step_scale"])
         return web.Response()
 
     app = web.Application(client_max_size=64 * 1024 * 1024)
@@ -89,8 +93,8 @@
 
 async def _stream(http_request, request, faults):
     owner = "other" if faults.take("cross") else request.id
-    is_dropped = faults.take("drop")
-    is_truncated = is_dropped or faults.take("truncate")
+    is_reset = faults.take("drop")
+    is_truncated = is_reset or faults.take("truncate")
     response = web.StreamResponse(
         headers={
             "Content-Type": "text/event-stream",
@@ -101,13 +105,13 @@
     await response.prepare(http_request)
     sent = 0
     while (text := await request.tokens.get()) is not None:
-        if isinstance(text, EngineFell):
+        if isinstance(text, EngineCrashed):
             http_request.transport.abort()
             return response
         await response.write(_event(owner, text if owner == request.id else "?"))
         sent += 1
-        if is_truncated and sent == TOKENS_BEFORE_FAULT:
-            if is_dropped:
+        if is_truncated and sent == TOKENS_BEFORE_CUT_OFF:
+            if is_reset:
                 http_request.transport.abort()
             return response
     await response.write(b"data: [DONE]\n\n")
@@ -124,14 +128,14 @@
     return f"data: {json.dumps(event)}\n\n".encode()
 
 
-async def _whole(http_request, request, faults):
+async def _complete(http_request, request, faults):
     parts = []
     while (text := await request.tokens.get()) is not None:
-        if isinstance(text, EngineFell):
+        if isinstance(text, EngineCrashed):
             http_request.transport.abort()
             return web.Response(status=500)
         parts.append(text)
-    answer = {
+    response_fields = {
         "id": request.id,
         "choices": [{"message": {"role": "assistant", "content": "".join(parts)}}],
     }
@@ -140,10 +144,10 @@
     owner = "other" if faults.take("cross") else request.id
     headers = {"X-Request-Id": owner, "X-Attempt-Id": request.attempt}
     if faults.take("truncate"):
-        return await send_truncated(http_request, answer, headers)
+        return await send_truncated(http_request, response_fields, headers)
     if faults.take("repeat"):
         send_stale_copy(http_request)
-    return web.json_response(answer, headers=headers)
+    return web.json_response(response_fields, headers=headers)
 
 
 def _record(engine):
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/engine/tests/test_engine.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/engine/tests/test_engine.py
@@ -3,7 +3,7 @@
 from magnoliagrade.clock import ManualClock
 
 from magnoliagrade_standins.engine import Engine, EngineProfile, EngineRequest
-from magnoliagrade_standins.engine.engine import EngineFell
+from magnoliagrade_standins.engine.engine import EngineCrashed
 
 PROFILE = EngineProfile(cold_tokens=100, warm_tokens=400, warm_after_tokens=30)
 
@@ -14,18 +14,18 @@
     )
 
 
-def test_cold_engine_falls_over_what_it_bears():
+def test_cold_engine_crashes_above_its_capacity():
     engine = Engine(profile=PROFILE, clock=ManualClock())
     requests = [_request(i) for i in range(3)]
-    boot = engine.boot_id
+    first_boot_id = engine.boot_id
     for request in requests:
         engine.submit(request)
-    assert engine.falls == 1 and engine.boot_id != boot
+    assert engine.falls == 1 and engine.boot_id != first_boot_id
     assert engine.peak_load == 1.2
-    assert isinstance(requests[0].tokens.get_nowait(), EngineFell)
+    assert isinstance(requests[0].tokens.get_nowait(), EngineCrashed)
 
 
-def test_engine_bears_more_once_warm():
+def test_warm_engine_has_more_capacity():
     async def main():
         clock = ManualClock()
         engine = Engine(profile=PROFILE, clock=clock)
@@ -33,7 +33,7 @@
         engine.submit(_request(0))
         await asyncio.sleep(0)
         await clock.advance(5)
-        assert engine.bears_tokens == 400
+        assert engine.capacity_tokens == 400
         for i in range(1, 9):
             engine.submit(_request(i))
         assert engine.falls == 0
