--- a/packages/magnoliagrade-standins/magnoliagrade_standins/service/__init__.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/service/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-in of a plain service."""
+"""Stand-in for a plain service."""
 
 from magnoliagrade_standins.service.service import PlainService, make_service_app
 
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/service/service.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/service/service.py
@@ -1,4 +1,4 @@
-"""A plain service that records every execution."""
+"""Plain service that records each execution of a request."""
 
 import json
 
@@ -15,17 +15,17 @@
 
 
 class PlainService:
-    """Executions by request id, in order.
+    """Service that echoes requests and records their executions in order.
 
     Parameters
     ----------
     clock : Clock
         Source of time.
     service_s : float
-        Time that one execution takes.
+        Duration of an execution, in seconds.
     journal : text file, optional
-        Takes a line of JSON for each execution as it begins, so that the record
-        outlives a kill.
+        Receives a line of JSON at the start of each execution, so that the record
+        survives if the process is killed.
     """
 
     __slots__ = (
@@ -50,12 +50,19 @@
         self._in_flight = 0
 
     async def execute(self, request_id, attempt, method, path, body):
-        """Run one call and return its answer.
+        """Execute a request and return the fields of its response.
+
+        Parameters
+        ----------
+        request_id, attempt : str
+            Ids of the request and of the attempt.
+        method, path, body : str
+            HTTP method, path with query, and body of the request.
 
         Returns
         -------
-        answer : dict
-            Echo of the request id and the number of the execution.
+        response : dict
+            The request id, path and body, and the number of the execution, from 1.
         """
         number = len(self.executions) + 1
         execution = {
@@ -80,17 +87,17 @@
 
 
 def make_service_app(service):
-    """Return the application that serves a plain service.
+    """Return the HTTP application that serves a plain service.
 
     Parameters
     ----------
     service : PlainService
-        The service.
+        Service that executes the requests.
     """
     faults = AnswerFaults()
 
     async def call(request):
-        answer = await service.execute(
+        response = await service.execute(
             request.headers.get("X-Request-Id", ""),
             request.headers.get("X-Attempt-Id", ""),
             request.method,
@@ -99,13 +106,13 @@
         )
         if faults.take("drop"):
             return abort(request)
-        owner = "other" if faults.take("cross") else answer["id"]
+        owner = "other" if faults.take("cross") else response["id"]
         headers = {"X-Request-Id": owner}
         if faults.take("truncate"):
-            return await send_truncated(request, answer, headers)
+            return await send_truncated(request, response, headers)
         if faults.take("repeat"):
             send_stale_copy(request)
-        return web.json_response(answer, headers=headers)
+        return web.json_response(response, headers=headers)
 
     async def record(_request):
         return web.json_response(
@@ -117,11 +124,11 @@
         )
 
     async def control(request):
-        order = await request.json()
-        service.service_s = float(order.get("service_s", service.service_s))
-        service.slow_every = int(order.get("slow_every", service.slow_every))
-        if "faults" in order:
-            faults.set(order["faults"])
+        fields = await request.json()
+        service.service_s = float(fields.get("service_s", service.service_s))
+        service.slow_every = int(fields.get("slow_every", service.slow_every))
+        if "faults" in fields:
+            faults.set(fields["faults"])
         return web.Response()
 
     app = web.Application(client_max_size=64 * 1024 * 1024)
