--- a/packages/magnoliagrade-standins/magnoliagrade_standins/explore/exploration.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/explore/exploration.py
@@ -19,7 +19,7 @@
 __all__ = ["ExplorationPlan", "Finding", "RandomWalk", "explore", "run_to_completion"]
 
 GROUP = "group"
-# Further messages are lost.
+# Messages sent while this many are in flight are lost.
 MAX_MESSAGES_IN_FLIGHT = 200
 # A group that does not step on within these rounds without faults counts as stuck.
 MAX_RECOVERY_ROUNDS = 60
@@ -157,7 +157,7 @@
             self.in_flight.append((rank, message))
 
     def run(self):
-        """Start the group, apply the random events and return their number."""
+        """Start the group, let the random events happen and return their number."""
         self.recover()
         for _ in range(self.plan.events):
             self.rng.choices(_EVENT_METHODS, _EVENT_WEIGHTS)[0](self)
@@ -218,8 +218,8 @@
         """Deliver a message: half of the time the oldest, otherwise a random one."""
         if self.in_flight:
             is_in_order = self.rng.random() < 0.5
-            last = 1 if is_in_order else len(self.in_flight)
-            self.deliver(self.in_flight.pop(self.rng.randrange(last)))
+            choices = 1 if is_in_order else len(self.in_flight)
+            self.deliver(self.in_flight.pop(self.rng.randrange(choices)))
 
     def on_drop(self):
         """Drop a random message in flight."""
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/explore/faults.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/explore/faults.py
@@ -26,7 +26,7 @@
 
 @planted_faults.register("no-known-round")
 class ReleaseBeforeAllInformed(UnmodifiedCode):
-    """A rank begins the step of a switch once it, not every rank, knows the outcome."""
+    """A rank begins the step of a switch as soon as it knows the outcome itself."""
 
     member_class = _MemberReleasingEarly
 
@@ -40,7 +40,7 @@
 
 @planted_faults.register("no-settled-round")
 class RunBeforeAllSettled(UnmodifiedCode):
-    """A rank runs in a new generation once it, not every rank, has settled."""
+    """A rank runs in a new generation as soon as it has settled itself."""
 
     member_class = _MemberRunningEarly
 
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/explore/orders.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/explore/orders.py
@@ -14,7 +14,7 @@
         The rank that carries out the orders.
     rng : random.Random
         Random number generator.
-    fails : callable
+    failure_rate : callable
         Returns the fraction of orders that currently fail, from 0 to 1.
     """
 
@@ -39,5 +39,5 @@
 
     def _fail_at_random(self, moment):
         if self._rng.random() < self._failure_rate() / 2:
-            detail = f"no reply: order failed {moment} the rank carried it out"
+            detail = f"order got no reply; it failed {moment} the rank carried it out"
             raise MagnoliagradeError(ErrorKind.UPSTREAM_FAILED, detail)
