--- a/packages/magnoliagrade-standins/magnoliagrade_standins/ranks/loads.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/ranks/loads.py
@@ -31,9 +31,9 @@
         self._index = index
         self._store = store
         self._expert_bytes = expert_bytes
-        self.forget()
+        self.clear()
 
-    def forget(self):
+    def clear(self):
         """Clear all held experts and loads, as on a restart of the rank."""
         self._held_experts = None
         self._load_by_version = {}
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/ranks/server.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/ranks/server.py
@@ -18,7 +18,7 @@
 from magnoliagrade_standins.ranks.rank import Rank, StaleFence
 from magnoliagrade_standins.weights import WeightStore
 
-__all__ = ["GroupProfile", "GroupProcess"]
+__all__ = ["GroupProcess", "GroupProfile"]
 
 # Tokens per second from which the reported counts of each expert are computed.
 TOKENS_PER_S = 2000.0
@@ -86,8 +86,8 @@
             for i in range(profile.ranks)
         ]
         ranks = [
-            Rank(index=i, honours_fence=profile.honours_fence, load=k.load)
-            for i, k in enumerate(self.loads)
+            Rank(index=i, honours_fence=profile.honours_fence, load=rank_loads.load)
+            for i, rank_loads in enumerate(self.loads)
         ]
         self.group = RankGroup(ranks=ranks)
         engine_profile = EngineProfile(step_base_s=profile.step_s)
@@ -157,7 +157,7 @@
     def restart(self, index):
         """Restart one rank: its gate, its experts and its engine."""
         self.group.ranks[index].restart()
-        self.loads[index].forget()
+        self.loads[index].clear()
         self.engines[index].restart()
 
     def record(self):
