--- a/tests/test_direct_path.py
+++ b/tests/test_direct_path.py
@@ -304,7 +304,7 @@
 def test_changed_keys_routes_and_endpoints_apply_without_a_restart():
     async def scenario(site, entry):
         site.configure(configuration_document(9, ROUTES[:1], keys=["key-2"]))
-        site.enter("plain-1", "plain", "127.0.0.1:9", state="draining")
+        site.register("plain-1", "plain", "127.0.0.1:9", state="draining")
         async with asyncio.timeout(5):
             while entry.site_state.version != 9 or entry.endpoint_table.loads_of(
                 "plain"
@@ -323,7 +323,7 @@
         await asyncio.sleep(0.05)
         site.configure(configuration_document(11, ROUTES))
         site.store.delete("servers/plain-1")
-        site.store.forget_history()
+        site.store.compact_history()
         site.store.outage = ""
         async with asyncio.timeout(10):
             while entry.site_state.version != 11 or entry.endpoint_table.loads_of(
