--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,4 +1,7 @@
-"""Bad input to each door over real sockets."""
+"""Malformed, oversized and slow input to each listener of an entry and an agent.
+
+Each case must get an error response without running anything at a back end.
+"""
 
 import asyncio
 import contextlib
@@ -24,18 +27,18 @@
     },
 )
 KEY = "Authorization: Bearer key-0"
-STOCK = f"GET /orders/stock HTTP/1.1\r\nHost: x\r\n{KEY}\r\n\r\n".encode()
+STOCK_REQUEST = f"GET /orders/stock HTTP/1.1\r\nHost: x\r\n{KEY}\r\n\r\n".encode()
 
 
 @dataclass(slots=True, kw_only=True)
-class Answer:
+class Response:
     version: str
     status: int
     headers: dict
     body: bytes
 
     @property
-    def says_close(self):
+    def announces_close(self):
         if self.version == "HTTP/1.0":
             return self.headers.get("connection") != "keep-alive"
         return self.headers.get("connection") == "close"
@@ -59,34 +62,37 @@
         writer.close()
 
 
-async def _read_answer(reader):
+async def _read_response(reader):
     head = (await reader.readuntil(b"\r\n\r\n")).decode()
-    line, *rows = head.strip().split("\r\n")
-    headers = {k.lower(): v for k, _, v in (row.partition(": ") for row in rows)}
+    line, *header_lines = head.strip().split("\r\n")
+    headers = {
+        k.lower(): v
+        for k, _, v in (header_line.partition(": ") for header_line in header_lines)
+    }
     body = await reader.readexactly(int(headers.get("content-length", 0)))
     version, status, *_ = line.split()
-    return Answer(version=version, status=int(status), headers=headers, body=body)
+    return Response(version=version, status=int(status), headers=headers, body=body)
 
 
 async def _send(address, data):
-    """Return the answer and whether the connection then serves another request."""
+    """Return the response and whether the connection then serves another request."""
     async with _connected(address) as (reader, writer):
         writer.write(data)
-        answer = await _read_answer(reader)
+        response = await _read_response(reader)
         try:
-            writer.write(STOCK)
-            second = await _read_answer(reader)
+            writer.write(STOCK_REQUEST)
+            second = await _read_response(reader)
         except (asyncio.IncompleteReadError, ConnectionError):
-            assert answer.says_close
-            return answer, False
+            assert response.announces_close
+            return response, False
         assert second.status == 200, second
-        return answer, True
+        return response, True
 
 
 def _post(body, *headers, path="/v1/completions", key=KEY):
     length = f"Content-Length: {len(body)}"
-    rows = [f"POST {path} HTTP/1.1", "Host: x", key, length, *headers]
-    return "\r\n".join([*rows, "", ""]).encode("latin-1") + body
+    header_lines = [f"POST {path} HTTP/1.1", "Host: x", key, length, *headers]
+    return "\r\n".join([*header_lines, "", ""]).encode("latin-1") + body
 
 
 def _chunked(data):
@@ -94,36 +100,46 @@
     return head.encode() + b"Transfer-Encoding: chunked\r\n\r\n" + data
 
 
-def _model(**fields):
+def _completion(**fields):
     return _post(json.dumps({"model": "swatch", "prompt": "p", **fields}).encode())
 
 
-KEPT = (
+CASES_KEEPING_CONNECTION = (
     ("malformed JSON", _post(b'{"model": '), 400, "INVALID_REQUEST"),
     ("not an object", _post(b"[1]"), 400, "INVALID_REQUEST"),
     ("not text", _post(b"\xff\xfe"), 400, "INVALID_REQUEST"),
-    ("deep", _post(b"[" * 2000), 400, "INVALID_REQUEST"),
-    ("model type", _model(model=1), 400, "INVALID_REQUEST"),
-    ("prompt type", _model(prompt=["p"]), 400, "INVALID_REQUEST"),
-    ("messages type", _model(messages="m"), 400, "INVALID_REQUEST"),
-    ("message type", _model(messages=[1]), 400, "INVALID_REQUEST"),
-    ("tokens", _model(max_tokens=0), 400, "INVALID_REQUEST"),
-    ("token type", _model(max_tokens=True), 400, "INVALID_REQUEST"),
-    ("too many tokens", _model(max_tokens=10**30), 400, "INVALID_REQUEST"),
-    ("half a pair", _post(b'{"model":"\\ud800","prompt":"p"}'), 400, "INVALID_REQUEST"),
-    ("coding", _post(b"x", "Content-Encoding: gzip"), 400, "INVALID_REQUEST"),
+    ("deep nesting", _post(b"[" * 2000), 400, "INVALID_REQUEST"),
+    ("model type", _completion(model=1), 400, "INVALID_REQUEST"),
+    ("prompt type", _completion(prompt=["p"]), 400, "INVALID_REQUEST"),
+    ("messages type", _completion(messages="m"), 400, "INVALID_REQUEST"),
+    ("message type", _completion(messages=[1]), 400, "INVALID_REQUEST"),
+    ("tokens", _completion(max_tokens=0), 400, "INVALID_REQUEST"),
+    ("token type", _completion(max_tokens=True), 400, "INVALID_REQUEST"),
+    ("too many tokens", _completion(max_tokens=10**30), 400, "INVALID_REQUEST"),
+    (
+        "unpaired surrogate",
+        _post(b'{"model":"\\ud800","prompt":"p"}'),
+        400,
+        "INVALID_REQUEST",
+    ),
+    ("content encoding", _post(b"x", "Content-Encoding: gzip"), 400, "INVALID_REQUEST"),
     ("not UTF-8", _post(b"{}", "X-A: \xff"), 400, "INVALID_REQUEST"),
     ("label", _post(b"", "X-Request-Labels: a", path="/orders/x"), 400, None),
     ("idempotent", _post(b"", "Idempotent: yes", path="/orders/x"), 400, None),
     ("deadline", _post(b"", "X-Deadline-Seconds: nan", path="/orders/x"), 400, None),
     ("priority", _post(b"", "X-Priority: 1e9", path="/orders/x"), 400, None),
     ("no key", _post(b"{}", key="X-A: b"), 401, "UNAUTHENTICATED"),
-    ("odd key", _post(b"", key="Authorization: Bearer \xff"), 400, None),
-    ("unknown model", _model(model="other"), 404, "NO_ROUTE"),
+    ("non-ASCII key", _post(b"", key="Authorization: Bearer \xff"), 400, None),
+    ("unknown model", _completion(model="other"), 404, "NO_ROUTE"),
     ("unknown application", _post(b"", path="/nothing/x"), 404, "NO_ROUTE"),
-    ("no path", STOCK.replace(b"GET /orders/stock", b"OPTIONS *"), 404, "NO_ROUTE"),
+    (
+        "asterisk path",
+        STOCK_REQUEST.replace(b"GET /orders/stock", b"OPTIONS *"),
+        404,
+        "NO_ROUTE",
+    ),
 )
-CLOSED = (
+CASES_CLOSING_CONNECTION = (
     ("garbage", b"\x16\x03\x01\x02\x00\x01\x00\r\n\r\n", 400, "INVALID_REQUEST"),
     ("bad header", b"GET / HTTP/1.1\r\nno colon\r\n\r\n", 400, "INVALID_REQUEST"),
     ("long line", b"GET /" + b"a" * 3000 + b" HTTP/1.1\r\n\r\n", 413, "TOO_LARGE"),
@@ -135,7 +151,7 @@
     ("large body", _post(b"a" * 5000)[:-100], 413, "TOO_LARGE"),
     ("large chunks", _chunked(b"800\r\n" + b"a" * 2048 + b"\r\n1\r\na"), 413, None),
     ("broken chunk", _chunked(b"5\r\nabcdeXX\r\n"), 400, "INVALID_REQUEST"),
-    ("no chunk", _chunked(b"zz\r\n"), 400, "INVALID_REQUEST"),
+    ("bad chunk size", _chunked(b"zz\r\n"), 400, "INVALID_REQUEST"),
     ("slow headers", b"GET / HTTP/1.1\r\nX-A: b\r\n", 400, "INVALID_REQUEST"),
     ("slow body", _post(b"a" * 10)[:-3], 400, "INVALID_REQUEST"),
     ("slow chunks", _chunked(b"5\r\nab"), 400, "INVALID_REQUEST"),
@@ -143,94 +159,96 @@
 
 
 def test_bad_input_to_the_doors():
-    asyncio.run(_check_doors())
+    asyncio.run(_check_listeners())
 
 
-async def _check_doors():
+async def _check_listeners():
     async with Site(plan=PLAN) as site:
         entry = site.entry_by_name["vernon-entry-0"].addresses
         agent = site.agent_by_name["vernon-service-0"].addresses
-        await _check_callers_door(entry["caller"])
-        await _check_pipelines(entry["caller"])
-        await _check_expectations(entry["caller"])
-        await _check_body_memory(entry["caller"])
+        await _check_caller_listener(entry["caller"])
+        await _check_pipelining(entry["caller"])
+        await _check_expect_continue(entry["caller"])
+        await _check_body_memory_limit(entry["caller"])
         for address in (entry["data"], agent["data"]):
-            await _check_internal_door(address)
-        await _check_admin(entry["admin"])
+            await _check_data_listener(address)
+        await _check_admin_listener(entry["admin"])
         await _check_nothing_ran(site)
 
 
-async def _check_callers_door(address):
-    for case in KEPT:
+async def _check_caller_listener(address):
+    for case in CASES_KEEPING_CONNECTION:
         await _check_case(address, True, *case)
-    # Some of these wait for a timeout.
-    await asyncio.gather(*(_check_case(address, False, *case) for case in CLOSED))
+    # Run at the same time because the slow cases last until a timeout of the entry.
+    await asyncio.gather(
+        *(_check_case(address, False, *case) for case in CASES_CLOSING_CONNECTION)
+    )
 
 
-async def _check_case(address, keeps, name, data, status, code):
-    answer, is_kept = await _send(address, data)
-    problem = answer.problem()
-    seen = (answer.status, problem["code"], is_kept)
-    assert seen == (status, code or problem["code"], keeps), (name, problem)
-    assert "key-0" not in answer.body.decode(), name
+async def _check_case(address, expect_kept, name, data, status, code):
+    response, is_kept = await _send(address, data)
+    problem = response.problem()
+    actual = (response.status, problem["code"], is_kept)
+    assert actual == (status, code or problem["code"], expect_kept), (name, problem)
+    assert "key-0" not in response.body.decode(), name
 
 
-async def _check_pipelines(address):
+async def _check_pipelining(address):
     async with _connected(address) as (reader, writer):
-        writer.write(STOCK + STOCK)
-        assert (await _read_answer(reader)).status == 200
-        assert (await _read_answer(reader)).status == 200
-        writer.write(b"\x00junk\r\n\r\n" + STOCK)
-        assert (await _read_answer(reader)).problem()["code"] == "INVALID_REQUEST"
+        writer.write(STOCK_REQUEST + STOCK_REQUEST)
+        assert (await _read_response(reader)).status == 200
+        assert (await _read_response(reader)).status == 200
+        writer.write(b"\x00junk\r\n\r\n" + STOCK_REQUEST)
+        assert (await _read_response(reader)).problem()["code"] == "INVALID_REQUEST"
         assert await reader.read() == b""
 
 
-async def _check_expectations(address):
+async def _check_expect_continue(address):
     order = _post(b"ab", "Expect: 100-continue", path="/orders/stock")
     async with _connected(address) as (reader, writer):
         writer.write(order[:-2])
-        assert (await _read_answer(reader)).status == 100
+        assert (await _read_response(reader)).status == 100
         writer.write(order[-2:])
-        assert (await _read_answer(reader)).status == 200
+        assert (await _read_response(reader)).status == 200
     large = _post(b"a" * 5000, "Expect: 100-continue")[:-5000]
     async with _connected(address) as (reader, writer):
         writer.write(large)
-        assert (await _read_answer(reader)).problem()["code"] == "TOO_LARGE"
+        assert (await _read_response(reader)).problem()["code"] == "TOO_LARGE"
 
 
-async def _check_body_memory(address):
-    part = _post(b"a" * BODY_LIMIT_BYTES)[:-1]
+async def _check_body_memory_limit(address):
+    incomplete = _post(b"a" * BODY_LIMIT_BYTES)[:-1]
     async with (
         _connected(address) as (_, first),
         _connected(address) as (_, second),
         _connected(address) as (reader, third),
     ):
         for writer in (first, second, third):
-            writer.write(part)
+            writer.write(incomplete)
             await asyncio.sleep(0.1)
-        assert (await _read_answer(reader)).problem()["code"] == "OVERLOADED"
-    assert (await _send(address, STOCK))[0].status == 200
+        assert (await _read_response(reader)).problem()["code"] == "OVERLOADED"
+    assert (await _send(address, STOCK_REQUEST))[0].status == 200
 
 
-async def _check_internal_door(address):
-    for data in (b"\x00\r\n\r\n", STOCK):
+async def _check_data_listener(address):
+    for data in (b"\x00\r\n\r\n", STOCK_REQUEST):
         async with _connected(address) as (reader, writer):
             writer.write(data)
-            answer = await _read_answer(reader)
-            assert json.loads(answer.body)["code"] == "INVALID_REQUEST"
-            assert answer.headers["x-magnoliagrade-code"] == "INVALID_REQUEST"
-            assert answer.headers["x-magnoliagrade-ran"] == "no"
-            assert answer.headers["x-request-id"]
+            response = await _read_response(reader)
+            assert json.loads(response.body)["code"] == "INVALID_REQUEST"
+            assert response.headers["x-magnoliagrade-code"] == "INVALID_REQUEST"
+            assert response.headers["x-magnoliagrade-ran"] == "no"
+            assert response.headers["x-request-id"]
 
 
-async def _check_admin(address):
+async def _check_admin_listener(address):
     async with _connected(address) as (reader, writer):
         writer.write(b"GET /nothing HTTP/1.1\r\nHost: x\r\n\r\n")
-        assert (await _read_answer(reader)).problem()["code"] == "NO_ROUTE"
+        assert (await _read_response(reader)).problem()["code"] == "NO_ROUTE"
 
 
 async def _check_nothing_ran(site):
     record = await site.record("vernon-service-0")
-    # The good requests that showed whether a connection was kept.
+    # `_send` requests /stock to check whether the connection is still open.
     assert {e["path"] for e in record["executions"]} == {"/stock"}
     assert (await site.record("vernon-model-0"))["requests"] == []
--- a/tests/test_binaries.py
+++ b/tests/test_binaries.py
@@ -1,4 +1,4 @@
-"""Both binaries as people call them."""
+"""Command lines, output and exit codes of both console scripts."""
 
 import configparser
 import os
@@ -11,7 +11,7 @@
 
 ROOT = pathlib.Path(__file__).parent.parent
 BINARIES = ("magnoliagrade", "magnoliagrade-agent")
-FIVE_MISTAKES = """
+SETTINGS_WITH_FIVE_ERRORS = """
 [instance]
 name = a
 data_centre = vernon
@@ -36,7 +36,7 @@
     )
 
 
-def test_two_console_scripts():
+def test_packages_declare_exactly_two_console_scripts():
     scripts = []
     for project in ROOT.glob("packages/*/pyproject.toml"):
         text = project.read_text()
@@ -48,11 +48,11 @@
     assert sorted(scripts) == sorted(BINARIES)
 
 
-def test_help_and_version_and_unknown_commands():
+def test_help_and_version_exit_0_and_an_unknown_command_exits_2():
     for binary in BINARIES:
-        shown = _run(binary, "--help")
-        assert shown.returncode == 0 and shown.stderr == ""
-        assert "  check " in shown.stdout and "  serve " in shown.stdout
+        help_result = _run(binary, "--help")
+        assert help_result.returncode == 0 and help_result.stderr == ""
+        assert "  check " in help_result.stdout and "  serve " in help_result.stdout
         assert _run(binary, "serve", "--help").stdout.startswith(
             f"usage: {binary} serve FILE"
         )
@@ -63,12 +63,12 @@
         assert "'sevre'" in unknown.stderr
 
 
-def test_check_names_all_of_five_mistakes():
+def test_check_and_serve_report_all_five_errors_of_a_settings_file():
     required_by_binary = {
         "magnoliagrade": "[platform]\nstore_url = http://s\ninstances_url = http://s",
         "magnoliagrade-agent": "[endpoint]\nurl = http://e",
     }
-    places = (
+    expected_errors = (
         "[listen] admin_address: 'nowhere' is not a host:port",
         "[listen] admin_adress: unknown key",
         "[logs] log_level: 'LOUD' is not one of DEBUG",
@@ -78,25 +78,25 @@
     with tempfile.TemporaryDirectory() as folder:
         path = os.path.join(folder, "x.ini")
         for binary, required in required_by_binary.items():
-            text = FIVE_MISTAKES.format(required=required)
+            text = SETTINGS_WITH_FIVE_ERRORS.format(required=required)
             pathlib.Path(path).write_text(text, encoding="utf-8")
             for command in ("check", "serve"):
-                done = _run(binary, command, path)
-                assert done.returncode == 2, done
-                lines = done.stderr.splitlines()
+                result = _run(binary, command, path)
+                assert result.returncode == 2, result
+                lines = result.stderr.splitlines()
                 assert len(lines) == 5, lines
-                for place in places:
-                    assert any(f"{path}: {place}" in x for x in lines), lines
+                for expected in expected_errors:
+                    assert any(f"{path}: {expected}" in x for x in lines), lines
 
 
-def test_impossible_combinations_and_overrides():
+def test_check_rejects_equal_addresses_and_an_empty_name_from_the_environment():
     required = "[platform]\nstore_url = http://s\ninstances_url = http://s\n"
     text = f"[instance]\nname = a\ndata_centre = b\n{required}"
     with tempfile.TemporaryDirectory() as folder:
         path = os.path.join(folder, "x.ini")
         pathlib.Path(path).write_text(text, encoding="utf-8")
-        good = _run("magnoliagrade", "check", path)
-        assert (good.returncode, good.stdout) == (0, f"{path}: ok\n"), good
+        valid = _run("magnoliagrade", "check", path)
+        assert (valid.returncode, valid.stdout) == (0, f"{path}: ok\n"), valid
         clash = _run(
             "magnoliagrade",
             *("check", path),
@@ -104,7 +104,7 @@
             MAGNOLIAGRADE_ADMIN_ADDRESS="127.0.0.1:8080",
         )
         assert clash.returncode == 2
-        both = "admin_address and caller_address are both 127.0.0.1:8080"
-        assert both in clash.stderr
+        message = "admin_address and caller_address are both 127.0.0.1:8080"
+        assert message in clash.stderr
         empty = _run("magnoliagrade", "check", path, MAGNOLIAGRADE_INSTANCE="")
         assert "[instance] name: '' is not a non-empty text" in empty.stderr
--- a/tests/test_configuration_commands.py
+++ b/tests/test_configuration_commands.py
@@ -1,4 +1,4 @@
-"""The operators' commands as processes against a running site."""
+"""Exit codes and output of the configuration commands against a running site."""
 
 import asyncio
 import json
@@ -13,17 +13,17 @@
 ACCEPTED, INVALID, CONFLICT, UNREACHABLE, BEHIND = 0, 2, 3, 5, 6
 
 
-def test_commands():
-    asyncio.run(_commands())
+def test_commands_exit_with_the_code_of_each_outcome():
+    asyncio.run(_run_commands())
 
 
-async def _commands():
+async def _run_commands():
     async with Site(plan=PLAN) as site:
         await _apply_and_wait(site)
-        await _refuse_invalid(site)
+        await _reject_invalid(site)
         await _drain_and_admit(site)
-        await _two_operators_race(site)
-        await _name_who_is_behind(site)
+        await _label_concurrently(site)
+        await _report_instance_behind(site)
 
 
 async def _apply_and_wait(site):
@@ -36,11 +36,11 @@
     assert code == ACCEPTED and "in force on all instances" in out, out
     code, out = await _run(site, "apply", path, "--operation=again", "--json")
     assert code == ACCEPTED, out
-    code, twice = await _run(site, "apply", path, "--operation=again", "--json")
-    assert code == ACCEPTED and json.loads(twice) == json.loads(out)
+    code, repeated = await _run(site, "apply", path, "--operation=again", "--json")
+    assert code == ACCEPTED and json.loads(repeated) == json.loads(out)
 
 
-async def _refuse_invalid(site):
+async def _reject_invalid(site):
     path = os.path.join(site.folder, "bad.ini")
     with open(path, "wb") as file:
         file.write(b"[pool p]\nfull_limit = \xff\n")
@@ -58,7 +58,7 @@
     assert (await _state(site, name))["ready"]
 
 
-async def _two_operators_race(site):
+async def _label_concurrently(site):
     await site.control_platform(
         "faults", {"latency_s": 0.1, "lose_write_answers": 4, "calls_per_s": 0}
     )
@@ -85,7 +85,7 @@
     assert f"labels = x={last}" in text
 
 
-async def _name_who_is_behind(site):
+async def _report_instance_behind(site):
     site.entry_by_name["kamloops-entry-1"].freeze()
     code, out = await _run(
         site, "label", "endpoint", "e", "x=0", "--wait", "--timeout_s=1", "--json"
--- a/tests/test_configuration_spread.py
+++ b/tests/test_configuration_spread.py
@@ -1,4 +1,4 @@
-"""The configuration in force everywhere, with the store cut off, down or old."""
+"""Propagation of configuration changes while the store is slow, cut off or down."""
 
 import asyncio
 import json
@@ -18,18 +18,18 @@
 HEADERS = {"Authorization": "Bearer key-0"}
 
 
-def test_changes_come_into_force_through_faults():
-    asyncio.run(_changes_through_faults())
+def test_changes_come_into_force_on_all_instances_despite_store_and_network_faults():
+    asyncio.run(_change_under_faults())
 
 
-async def _changes_through_faults():
+async def _change_under_faults():
     async with Site(plan=PLAN) as site:
         await _with_slow_store(site)
         await _with_store_cut_from_one_data_centre(site)
         await _with_data_centres_cut_from_each_other(site)
         await _with_store_down_after_acceptance_by_one_entry(site)
-        await _newcomer_while_store_is_down(site)
-        await _newcomer_without_store_and_peers(site)
+        await _start_entry_while_store_is_down(site)
+        await _start_entry_without_store_and_peers(site)
 
 
 async def _with_slow_store(site):
@@ -57,10 +57,10 @@
         {"source": site.source_of("kamloops"), "target": "kelowna", "flow": "cut"},
         {"source": site.source_of("kelowna"), "target": "kamloops", "flow": "cut"},
     )
-    before = await _revision(site, "kamloops-entry-0")
+    revision_before = await _revision(site, "kamloops-entry-0")
     revision = await _label(site, "2")
     await _wait_in_force(site, revision, only="kelowna")
-    assert await _revision(site, "kamloops-entry-0") == before
+    assert await _revision(site, "kamloops-entry-0") == revision_before
     await _order(site, "kamloops-entry-0")
     await site.set_rules()
     await _wait_in_force(site, revision)
@@ -68,7 +68,7 @@
 
 async def _with_store_down_after_acceptance_by_one_entry(site):
     admin = site.entry_by_name["kelowna-entry-1"].addresses["admin"]
-    code, out = await _command(
+    code, out = await _run_command(
         "drain",
         "kamloops-service-0",
         "--json",
@@ -79,39 +79,39 @@
     revision = json.loads(out)["revision"]
     await _wait_in_force(site, revision)
     await _order(site, "kelowna-entry-0")
-    code, out = await _command(
+    code, out = await _run_command(
         "label", "endpoint", "e", "a=1", f"--store={site.platform_url}", "--unchecked"
     )
     assert code == 5, out
 
 
-async def _newcomer_while_store_is_down(site):
-    newcomer = site.entry_by_name["kamloops-entry-1"]
-    highest = await _revision(site, "kamloops-entry-0")
-    await newcomer.kill()
-    await site.start_listed(newcomer, "entry")
-    await _wait_in_force(site, highest)
-    reasons = await _not_ready(site, "kamloops-entry-1")
+async def _start_entry_while_store_is_down(site):
+    entry = site.entry_by_name["kamloops-entry-1"]
+    newest_revision = await _revision(site, "kamloops-entry-0")
+    await entry.kill()
+    await site.start_listed(entry, "entry")
+    await _wait_in_force(site, newest_revision)
+    reasons = await _not_ready_reasons(site, "kamloops-entry-1")
     assert reasons == [], reasons
 
 
-async def _newcomer_without_store_and_peers(site):
-    newcomer = site.entry_by_name["kelowna-entry-1"]
+async def _start_entry_without_store_and_peers(site):
+    entry = site.entry_by_name["kelowna-entry-1"]
     await site.set_rules(
         {"target": "kelowna-entry-1", "flow": "cut"},
         {"source": site.source_of("kelowna-entry-1"), "flow": "cut"},
     )
-    await newcomer.kill()
-    await site.start_listed(newcomer, "entry")
+    await entry.kill()
+    await site.start_listed(entry, "entry")
     reasons = []
     while not any("the store does not answer" in r for r in reasons):
-        reasons = await _not_ready(site, "kelowna-entry-1")
+        reasons = await _not_ready_reasons(site, "kelowna-entry-1")
         await asyncio.sleep(0.05)
     assert "0 peers are linked" in reasons[0]
     await site.set_rules()
     await site.control_platform("faults", {"is_down": False})
-    highest = await _revision(site, "kamloops-entry-0")
-    await _wait_in_force(site, highest)
+    newest_revision = await _revision(site, "kamloops-entry-0")
+    await _wait_in_force(site, newest_revision)
 
 
 async def _label(site, value):
@@ -126,7 +126,9 @@
     names = [n for n in site.entry_by_name if n.startswith(only)]
     names += [n for n in site.agent_by_name if n.startswith(only)]
     while not all([await _revision(site, n) >= revision for n in names]):
-        assert loop.time() - start < 4 * IN_FORCE_S, f"revision {revision} is missing"
+        assert loop.time() - start < 4 * IN_FORCE_S, (
+            f"revision {revision} is not in force on {names}"
+        )
         await asyncio.sleep(0.05)
     print(f"revision {revision} in force after {loop.time() - start:.2f} s")
 
@@ -142,7 +144,7 @@
     return 0
 
 
-async def _not_ready(site, name):
+async def _not_ready_reasons(site, name):
     url = f"http://{site.entry_by_name[name].addresses['admin']}/readyz"
     async with site.session.get(url) as response:
         return (await response.json())["reasons"]
@@ -155,7 +157,7 @@
         assert response.status == 200, await response.text()
 
 
-async def _command(*arguments):
+async def _run_command(*arguments):
     binary = os.path.join(os.path.dirname(sys.executable), "magnoliagrade")
     process = await asyncio.create_subprocess_exec(
         binary, *arguments, stdout=asyncio.subprocess.PIPE
--- a/tests/test_configuration_store.py
+++ b/tests/test_configuration_store.py
@@ -1,4 +1,4 @@
-"""Changes of the configuration against a store that fails and races."""
+"""Configuration changes while the store fails and other writers change it."""
 
 import asyncio
 import random
@@ -20,13 +20,13 @@
     clock = ManualClock()
     store = MemoryStore(clock=clock)
 
-    async def drive():
+    async def advance_clock():
         task = asyncio.create_task(main(clock, store))
         while not task.done():
             await clock.advance(0.05)
         return await task
 
-    return asyncio.run(drive())
+    return asyncio.run(advance_clock())
 
 
 def _repository(clock, store, seed=0, retry_timeout_s=10.0):
@@ -48,19 +48,19 @@
     return None
 
 
-def test_lost_answer_is_read_back_under_later_changes():
+def test_change_whose_write_reply_is_lost_is_found_in_the_history_after_later_changes():
     async def main(clock, store):
         first, other = _repository(clock, store), _repository(clock, store, 1)
         await first.apply(TEXT, author="a")
-        late = _LateAnswer(store)
-        slow = _repository(clock, late, 2)
+        late_store = _LateReplyStore(store)
+        slow = _repository(clock, late_store, 2)
         change = asyncio.create_task(
             slow.change(_label("1"), author="a", operation="op-1")
         )
-        await late.written.wait()
+        await late_store.written.wait()
         for i in range(5):
             await other.change(_label(str(i), "f"), author="b")
-        late.may_answer.set()
+        late_store.may_reply.set()
         stored = await change
         assert stored.root.newest.operation == "op-1" and stored.revision == 2
         newest = await other.load()
@@ -69,11 +69,11 @@
     _run(main)
 
 
-def test_store_that_stays_down_leaves_the_outcome_unknown_or_surely_not():
+def test_lost_root_write_is_outcome_unknown_and_unsent_change_is_store_unavailable():
     async def main(clock, store):
         await _repository(clock, store).apply(TEXT, author="a")
-        lost = _LoseRootThenDown(store)
-        call = _repository(clock, lost, 3, retry_timeout_s=1.0).change(
+        failing_store = _StoreDownAfterRootWrite(store)
+        call = _repository(clock, failing_store, 3, retry_timeout_s=1.0).change(
             _label("1"), author="a", operation="op-2"
         )
         assert await _kind_of(call) is ErrorKind.OUTCOME_UNKNOWN
@@ -89,7 +89,7 @@
     _run(main)
 
 
-def test_conflicting_change_loses_and_names_the_winner():
+def test_conflicting_change_fails_and_names_the_author_of_the_accepted_one():
     async def main(clock, store):
         repository = _repository(clock, store)
         await repository.apply(TEXT, author="a")
@@ -102,20 +102,20 @@
             ),
             return_exceptions=True,
         )
-        lost = [r for r in results if isinstance(r, MagnoliagradeError)]
-        won = [r for r in results if not isinstance(r, MagnoliagradeError)]
-        assert len(won) == 1 and len(lost) == 2
-        author = won[0].root.newest.author
-        assert all(f"revision 2 was written by {author}" in e.detail for e in lost)
+        rejected = [r for r in results if isinstance(r, MagnoliagradeError)]
+        accepted_changes = [r for r in results if not isinstance(r, MagnoliagradeError)]
+        assert len(accepted_changes) == 1 and len(rejected) == 2
+        author = accepted_changes[0].root.newest.author
+        assert all(f"revision 2 was written by {author}" in e.detail for e in rejected)
 
     _run(main)
 
 
-def test_racing_operators_get_one_verdict_each_and_lose_nothing():
+def test_concurrent_changes_get_one_outcome_each_and_no_accepted_change_is_lost():
     async def main(clock, store):
         await _repository(clock, store).apply(TEXT, author="a")
         rng = random.Random(7)
-        verdict_by_operation = {}
+        outcome_by_operation = {}
 
         async def operator(author):
             repository = _repository(clock, store, author)
@@ -124,35 +124,37 @@
                 operation = f"{author}-{i}"
                 change = _label(operation, endpoint)
                 call = repository.change(change, author=author, operation=operation)
-                verdict_by_operation[operation] = (endpoint, await _kind_of(call))
+                outcome_by_operation[operation] = (endpoint, await _kind_of(call))
                 store.set_faults(_random_faults(rng))
 
         await asyncio.gather(operator("o1"), operator("o2"))
         store.set_faults(StoreFaults())
-        await _check_race(_repository(clock, store), store, verdict_by_operation)
+        await _check_concurrent_changes(
+            _repository(clock, store), store, outcome_by_operation
+        )
 
     _run(main)
 
 
-async def _check_race(repository, store, verdict_by_operation):
-    assert len(verdict_by_operation) == 200
-    kinds = {kind for _, kind in verdict_by_operation.values()}
+async def _check_concurrent_changes(repository, store, outcome_by_operation):
+    assert len(outcome_by_operation) == 200
+    kinds = {kind for _, kind in outcome_by_operation.values()}
     assert None in kinds and ErrorKind.CONFLICT in kinds, kinds
     newest = await repository.load()
     # Revisions number the accepted changes without a gap, so none was lost.
-    accepted = [o for o, (_, kind) in verdict_by_operation.items() if kind is None]
+    accepted = [o for o, (_, kind) in outcome_by_operation.items() if kind is None]
     assert newest.revision == 1 + len(accepted)
     rows = newest.root.history
     assert [r.revision for r in rows] == list(
         range(newest.revision - len(rows) + 1, newest.revision + 1)
     )
-    last_by_endpoint = {}
+    last_operation_by_endpoint = {}
     for row in rows:
-        endpoint, kind = verdict_by_operation.get(row.operation, ("", None))
+        endpoint, kind = outcome_by_operation.get(row.operation, ("", None))
         assert kind is None, (row, kind)
-        last_by_endpoint[endpoint] = row.operation
+        last_operation_by_endpoint[endpoint] = row.operation
     labels = _labels_of(newest)
-    for endpoint, operation in last_by_endpoint.items():
+    for endpoint, operation in last_operation_by_endpoint.items():
         if endpoint:
             assert labels[endpoint]["x"] == operation
     keys = await store.list("configuration/chunk/", purpose="test")
@@ -171,7 +173,7 @@
     )
 
 
-def test_restored_store_is_written_back_and_a_fork_is_not():
+def test_newer_revision_is_written_back_to_an_old_store_but_not_over_a_fork():
     async def main(clock, store):
         repository = _repository(clock, store)
         await repository.apply(TEXT, author="a")
@@ -188,35 +190,35 @@
         store._value_by_key = dict(old)
         await repository.change(_label("fork"), author="b")
         assert await _kind_of(repository.restore(held)) is ErrorKind.CONFLICT
-        above = await repository.change(
+        superseding = await repository.change(
             ReplaceAll(text=TEXT),
             author="b",
             expected_revision=9,
             held_revision=9,
             is_superseding=True,
         )
-        assert above.revision == 10
+        assert superseding.revision == 10
 
     _run(main)
 
 
-def test_fleet_fits_and_one_organisation_writes_one_chunk():
+def test_large_configuration_fits_chunks_and_one_label_rewrites_one_chunk():
     async def main(clock, store):
         repository = _repository(clock, store)
-        await repository.apply(fleet_text(), author="a")
+        await repository.apply(_large_configuration_text(), author="a")
         sizes = [len(v.value) for v in store._value_by_key.values()]
         assert max(sizes) < 100_000
-        counting = _CountingPuts(store)
+        recording = _RecordingStore(store)
         change = SetLabels(
             kind="organisation", name="organisation-77", value_by_label={"a": "1"}
         )
-        await _repository(clock, counting).change(change, author="a")
-        assert len(counting.keys) == 2 and counting.keys[-1] == "configuration/root"
+        await _repository(clock, recording).change(change, author="a")
+        assert len(recording.keys) == 2 and recording.keys[-1] == "configuration/root"
 
     _run(main)
 
 
-def fleet_text():
+def _large_configuration_text():
     parts = [f"[pool p{i}]\nendpoint_selector = model=m{i}\n" for i in range(18)]
     parts += [f"[endpoint e{i}]\nlabels = model=m{i % 18}\n" for i in range(600)]
     parts += [
@@ -226,7 +228,7 @@
     return "".join(parts)
 
 
-def test_every_change_is_replaced_whole_in_chunks():
+def test_applied_text_replaces_the_chunks_of_the_previous_one():
     async def main(clock, store):
         repository = _repository(clock, store)
         await repository.change(ReplaceAll(text=TEXT), author="a")
@@ -238,7 +240,9 @@
     _run(main)
 
 
-class _Wrapped:
+class _StoreWrapper:
+    """Passes every call on to a store."""
+
     def __init__(self, store):
         self._store = store
 
@@ -246,7 +250,9 @@
         return getattr(self._store, name)
 
 
-class _CountingPuts(_Wrapped):
+class _RecordingStore(_StoreWrapper):
+    """Records the keys that are written."""
+
     def __init__(self, store):
         super().__init__(store)
         self.keys = []
@@ -256,13 +262,16 @@
         return await self._store.put(key, value, **options)
 
 
-class _LateAnswer(_Wrapped):
-    """Writes the root at once and answers that it is lost when told."""
+class _LateReplyStore(_StoreWrapper):
+    """Writes the root at once and raises its error when `may_reply` is set.
+
+    The first write of the root takes effect, but its reply is lost.
+    """
 
     def __init__(self, store):
         super().__init__(store)
         self.written = asyncio.Event()
-        self.may_answer = asyncio.Event()
+        self.may_reply = asyncio.Event()
 
     async def put(self, key, value, **options):
         if key != "configuration/root" or self.written.is_set():
@@ -272,10 +281,12 @@
             return await self._store.put(key, value, **options)
         finally:
             self.written.set()
-            await self.may_answer.wait()
+            await self.may_reply.wait()
+
 
+class _StoreDownAfterRootWrite(_StoreWrapper):
+    """Loses the reply to the write of the root and is down from then on."""
 
-class _LoseRootThenDown(_Wrapped):
     async def put(self, key, value, **options):
         if key == "configuration/root":
             self._store.faults.lose_write_answers = 1
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""Pages of the documentation: links that lead somewhere, text made from code."""
+"""Links and paths in the documentation exist; generated pages match the code."""
 
 import pathlib
 import re
@@ -14,15 +14,15 @@
 UNITS = ("_seconds", "_bytes", "_cost", "_tokens", "_changes")
 
 
-def test_links_lead_to_files():
-    found = [*ROOT.glob("*.md"), *ROOT.glob("docs/**/*.md")]
-    assert len(found) > 10
-    for page in found:
+def test_relative_links_point_to_existing_files():
+    page_paths = [*ROOT.glob("*.md"), *ROOT.glob("docs/**/*.md")]
+    assert len(page_paths) > 10
+    for page in page_paths:
         for target in LINK.findall(page.read_text(encoding="utf-8")):
             assert (page.parent / target).exists(), f"{page}: {target}"
 
 
-def test_paths_in_architecture_exist():
+def test_source_paths_in_the_architecture_page_exist():
     text = (ROOT / "docs" / "ARCHITECTURE.md").read_text(encoding="utf-8")
     paths = re.findall(r"`(magnoliagrade(?:_entry|_agent)?/[^`]*)`", text)
     assert len(paths) > 6
@@ -30,13 +30,13 @@
         assert list(ROOT.glob(f"packages/*/{path}")), path
 
 
-def test_pages_made_from_code_are_up_to_date():
+def test_generated_pages_match_the_code():
     for name, text in pages().items():
         page = (ROOT / "docs" / name).read_text(encoding="utf-8")
         assert page == text, f"{name}: run python -m magnoliagrade_standins pages"
 
 
-def test_metrics_name_their_units_and_have_bounded_labels():
+def test_metric_names_end_in_units_and_labels_are_bounded():
     rows = [r.split("|") for r in metrics_page().splitlines() if "| magnolia" in r]
     assert len(rows) > 20
     for _, name, kind, labels, *_ in rows:
--- a/tests/test_docstring_examples.py
+++ b/tests/test_docstring_examples.py
@@ -1,4 +1,4 @@
-"""Runs the examples in docstrings and those of the gallery."""
+"""Runs the doctests of all modules and the example scripts."""
 
 import doctest
 import importlib
@@ -12,7 +12,7 @@
     "magnoliagrade_entry",
     "magnoliagrade_standins",
 )
-GALLERY = pathlib.Path(__file__).parent.parent / "examples"
+EXAMPLES = pathlib.Path(__file__).parent.parent / "examples"
 
 
 def _modules():
@@ -23,7 +23,7 @@
                 yield importlib.import_module(found.name)
 
 
-def test_docstring_examples():
+def test_docstring_examples_give_the_documented_output():
     attempted = 0
     for module in _modules():
         results = doctest.testmod(module, verbose=False)
@@ -32,8 +32,8 @@
     assert attempted > 0
 
 
-def test_gallery():
-    scripts = sorted(GALLERY.glob("plot_*.py")) + sorted(GALLERY.glob("show_*.py"))
+def test_example_scripts_run_without_error():
+    scripts = sorted(EXAMPLES.glob("plot_*.py")) + sorted(EXAMPLES.glob("show_*.py"))
     assert scripts
     for script in scripts:
         runpy.run_path(str(script), run_name="__main__")
--- a/tests/test_faults_on_the_path.py
+++ b/tests/test_faults_on_the_path.py
@@ -1,4 +1,4 @@
-"""The path behind the fault proxy: a cut endpoint, a peer data centre."""
+"""An order whose local agent is unreachable behind the fault proxy."""
 
 import asyncio
 
@@ -12,11 +12,11 @@
 HEADERS = {"Authorization": "Bearer key-0"}
 
 
-def test_order_goes_to_other_data_centre_when_own_agents_are_cut():
-    asyncio.run(_order_with_own_agent_cut())
+def test_order_runs_in_remote_data_centre_when_local_agent_is_unreachable():
+    asyncio.run(_order_with_local_agent_cut())
 
 
-async def _order_with_own_agent_cut():
+async def _order_with_local_agent_cut():
     async with Site(plan=PLAN) as site:
         await site.set_rules(
             {
@@ -26,11 +26,11 @@
             }
         )
         url = site.caller_url("kamloops-entry-0")
-        answer = await _order(site, url)
-        own = await site.record("kamloops-service-0")
-        other = await site.record("kelowna-service-0")
-        assert own["executions"] == []
-        assert [e["id"] for e in other["executions"]] == [answer["id"]]
+        response_body = await _order(site, url)
+        local = await site.record("kamloops-service-0")
+        remote = await site.record("kelowna-service-0")
+        assert local["executions"] == []
+        assert [e["id"] for e in remote["executions"]] == [response_body["id"]]
 
 
 async def _order(site, url):
--- a/tests/test_group_path.py
+++ b/tests/test_group_path.py
@@ -1,4 +1,8 @@
-"""A group of real processes: maps switch, ranks die, one map for each step."""
+"""Expert-map switches, rank restarts and shutdown of a group of real processes.
+
+Guards against a step that runs with two expert maps, and against a stream that ends
+as complete after a rank restarted.
+"""
 
 import asyncio
 import json
@@ -11,17 +15,18 @@
 
 RANKS = 4
 HEADERS = {"Authorization": "Bearer key-0"}
-WAIT_S = 40.0
+PROGRESS_TIMEOUT_S = 40.0
 POLL_S = 0.02
 DRIFT = 1000.0
 TOKENS = 300
-BEGUN_S = 0.5
-LAST_TOKENS_S = 2.0
-# Widens the time between an arming and its outcome, in which ranks are struck.
-SLOW = {"target": "kamloops-rank", "delay_s": 0.03}
+STREAM_START_S = 0.5
+STREAM_END_TIMEOUT_S = 2.0
+# Lengthens the time between arming a switch and its outcome, so that the restarts of
+# ranks fall into it.
+DELAY_RULE = {"target": "kamloops-rank", "delay_s": 0.03}
 
 
-def test_group_switches_maps_and_survives_restarts_in_mid_switch():
+def test_each_step_runs_with_one_map_when_ranks_restart_during_a_switch():
     asyncio.run(_switch_and_restart())
 
 
@@ -29,38 +34,38 @@
     plan = group_plan(ranks=RANKS, policy="greedy", interval_s=0.3)
     options = {"drift": DRIFT}
     async with GroupSite(plan=plan, ranks=RANKS, options=options) as site:
-        await site.set_rules(SLOW)
-        await _until(lambda: _newest_version(site), at_least=2)
-        for restart in (_restart_rank, _restart_both):
-            await _until(lambda: _complete(site), at_least=1)
+        await site.set_rules(DELAY_RULE)
+        await _wait_until(lambda: _newest_version(site), at_least=2)
+        for restart in (_restart_rank, _restart_rank_and_agent):
+            await _wait_until(lambda: _is_completion_served(site), at_least=1)
             generation = await _generation(site)
             stream = asyncio.create_task(_stream(site))
-            await _until(lambda: site.hold_step(0), at_least=1)
+            await _wait_until(lambda: site.hold_step(0), at_least=1)
             assert not stream.done()
             await restart(site)
             while await _generation(site) == generation:
                 await asyncio.sleep(POLL_S)
             await _check_stream(await stream)
-            await _until(lambda: _complete(site), at_least=1)
+            await _wait_until(lambda: _is_completion_served(site), at_least=1)
         record = await site.group_record()
         assert find_two_maps(StepRecord(**r) for r in record["records"]) is None
 
 
-def test_leaving_rank_waits_for_the_requests_of_all_ranks():
-    asyncio.run(_leave())
+def test_rank_that_shuts_down_waits_for_requests_of_all_ranks():
+    asyncio.run(_shut_down())
 
 
-async def _leave():
+async def _shut_down():
     plan = group_plan(ranks=2, policy="static")
     async with GroupSite(plan=plan, ranks=2) as site:
-        await _until(lambda: _complete(site), at_least=1)
+        await _wait_until(lambda: _is_completion_served(site), at_least=1)
         stream = asyncio.create_task(_stream(site))
-        await asyncio.sleep(BEGUN_S)
+        await asyncio.sleep(STREAM_START_S)
         assert not stream.done()
         stops = [asyncio.create_task(a.stop()) for a in site.agent_by_name.values()]
         await asyncio.wait(stops, return_when=asyncio.FIRST_COMPLETED)
-        # Also the rank that does not serve the stream has waited for its end.
-        request_id, events = await asyncio.wait_for(stream, LAST_TOKENS_S)
+        # The rank that does not serve the stream also waits until the stream ends.
+        request_id, events = await asyncio.wait_for(stream, STREAM_END_TIMEOUT_S)
         assert events[-1] == b"[DONE]"
         await _check_stream((request_id, events))
         assert await asyncio.gather(*stops) == [0, 0]
@@ -70,16 +75,18 @@
     await site.control_rank(1, restart=True)
 
 
-async def _restart_both(site):
+async def _restart_rank_and_agent(site):
     await site.control_rank(3, restart=True)
     await site.restart_agent(3)
 
 
-async def _until(read, *, at_least):
+async def _wait_until(read_value, *, at_least):
     clock = SystemClock()
-    limit = clock.monotonic() + WAIT_S
-    while await read() < at_least:
-        assert clock.monotonic() < limit, "the group did not come so far"
+    deadline = clock.monotonic() + PROGRESS_TIMEOUT_S
+    while await read_value() < at_least:
+        assert clock.monotonic() < deadline, (
+            f"still below {at_least} after {PROGRESS_TIMEOUT_S} s"
+        )
         await clock.sleep(POLL_S)
 
 
@@ -92,7 +99,7 @@
     return (await site.group_record())["records"][-1]["generation"]
 
 
-async def _complete(site):
+async def _is_completion_served(site):
     """Return whether a short completion is served."""
     url = site.caller_url("kamloops-entry-0") + "/v1/completions"
     body = {"model": "swatch", "max_tokens": 3, "prompt": "linen"}
@@ -101,7 +108,7 @@
 
 
 async def _stream(site):
-    """Return the request id and the events of a stream, as far as it came."""
+    """Return the request id and the events that a stream delivered before its end."""
     url = site.caller_url("kamloops-entry-0") + "/v1/completions"
     body = {"model": "swatch", "stream": True, "max_tokens": TOKENS, "prompt": "linen"}
     events = []
@@ -115,9 +122,12 @@
         return response.headers.get("X-Request-Id"), events
 
 
-async def _check_stream(answer):
-    """Check that a broken stream did not end as if it were whole."""
-    request_id, events = answer
+async def _check_stream(result):
+    """Check that a stream that ends with [DONE] has all its tokens.
+
+    A stream that was cut off must not end with [DONE].
+    """
+    request_id, events = result
     if not events or events[-1] != b"[DONE]":
         return
     texts = [json.loads(e)["choices"][0]["delta"]["content"] for e in events[:-1]]
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,4 +1,8 @@
-"""No new work for an endpoint or a data centre that leaves."""
+"""An endpoint or data centre that is taken out of service gets no new work.
+
+Guards against work that is still sent because the instance list lags, the store is
+unreachable or an entry is cut off.
+"""
 
 import asyncio
 
@@ -11,7 +15,7 @@
 )
 
 NO_NEW_WORK_AFTER_S = 3.0
-OUT = "\n[data_centre {name}]\nlabels = state=out\n"
+EVACUATED = "\n[data_centre {name}]\nlabels = state=out\n"
 
 
 def _plan():
@@ -27,7 +31,7 @@
     return [e for e in record["executions"] if e["at"] > at]
 
 
-def test_agent_that_shuts_down_gets_no_new_work_while_the_list_lags():
+def test_agent_that_shuts_down_gets_no_new_work_while_the_instance_list_lags():
     async def main():
         clock = SystemClock()
         async with Site(plan=_plan()) as site:
@@ -38,18 +42,21 @@
                 )
             )
             await clock.sleep(1)
-            left_at = clock.monotonic()
+            leaving_at = clock.monotonic()
             assert await site.agent_by_name["kamloops-service-0"].stop() == 0
             outcomes = await calls
             assert [o for o in outcomes if not o.is_served] == []
-            late = left_at + NO_NEW_WORK_AFTER_S
-            assert await _executions_after(site, "kamloops-service-0", late) == []
-            assert await _executions_after(site, "kamloops-service-1", left_at)
+            last_allowed_at = leaving_at + NO_NEW_WORK_AFTER_S
+            assert (
+                await _executions_after(site, "kamloops-service-0", last_allowed_at)
+                == []
+            )
+            assert await _executions_after(site, "kamloops-service-1", leaving_at)
 
     asyncio.run(main())
 
 
-def test_listed_as_leaving_by_the_platform_only():
+def test_agent_listed_as_leaving_only_by_the_platform_gets_no_new_work():
     async def main():
         clock = SystemClock()
         async with Site(plan=_plan()) as site:
@@ -57,19 +64,22 @@
             await site.list_instance(
                 "kamloops-service-0", agent, "agent", "kamloops", state="leaving"
             )
-            left_at = clock.monotonic()
-            until = left_at + NO_NEW_WORK_AFTER_S + 1
+            leaving_at = clock.monotonic()
+            until = leaving_at + NO_NEW_WORK_AFTER_S + 1
             outcomes = await call_until(
                 site, clock, until, entries=list(site.entry_by_name)
             )
             assert [o for o in outcomes if not o.is_served] == []
-            late = left_at + NO_NEW_WORK_AFTER_S
-            assert await _executions_after(site, "kamloops-service-0", late) == []
+            last_allowed_at = leaving_at + NO_NEW_WORK_AFTER_S
+            assert (
+                await _executions_after(site, "kamloops-service-0", last_allowed_at)
+                == []
+            )
 
     asyncio.run(main())
 
 
-def test_data_centre_out_while_only_one_entry_reaches_the_store():
+def test_evacuated_data_centre_gets_no_work_when_one_entry_reaches_the_store():
     async def main():
         clock = SystemClock()
         async with Site(plan=_plan()) as site:
@@ -81,49 +91,50 @@
                     "flow": "pass",
                 },
             )
-            # The watches that the cut ended must not be what spreads the change.
+            # Waits until the cut has ended the watches, so that their end does not
+            # propagate the change.
             await clock.sleep(0.5)
-            text = CONFIGURATION + OUT.format(name="kamloops")
+            text = CONFIGURATION + EVACUATED.format(name="kamloops")
             await site.repository.apply(text, author="operator")
-            out_at = clock.monotonic()
-            # kelowna's entry has its answer; then the store goes down for all.
+            evacuated_at = clock.monotonic()
+            # kelowna's entry has the change by now; the store then goes down for all.
             await clock.sleep(0.5)
             await site.control_platform("faults", {"is_down": True})
-            until = out_at + NO_NEW_WORK_AFTER_S + 1
+            until = evacuated_at + NO_NEW_WORK_AFTER_S + 1
             outcomes = await call_until(
                 site, clock, until, entries=list(site.entry_by_name)
             )
             assert [o for o in outcomes if not o.is_served] == []
-            late = out_at + NO_NEW_WORK_AFTER_S
+            last_allowed_at = evacuated_at + NO_NEW_WORK_AFTER_S
             for name in ("kamloops-service-0", "kamloops-service-1"):
-                assert await _executions_after(site, name, late) == []
-            assert await _executions_after(site, "kelowna-service-0", late)
+                assert await _executions_after(site, name, last_allowed_at) == []
+            assert await _executions_after(site, "kelowna-service-0", last_allowed_at)
 
     asyncio.run(main())
 
 
-def test_entry_cut_off_from_platform_and_peers_stops_at_the_agents():
+def test_agents_of_evacuated_data_centre_reject_work_of_an_isolated_entry():
     async def main():
         clock = SystemClock()
         async with Site(plan=_plan()) as site:
-            cut_off = site.source_of("kamloops-entry-0")
+            isolated_entry = site.source_of("kamloops-entry-0")
             await site.set_rules(
-                {"source": cut_off, "target": "platform", "flow": "cut"},
-                {"source": cut_off, "target": "kamloops-entry", "flow": "cut"},
-                {"source": cut_off, "target": "kelowna-entry", "flow": "cut"},
+                {"source": isolated_entry, "target": "platform", "flow": "cut"},
+                {"source": isolated_entry, "target": "kamloops-entry", "flow": "cut"},
+                {"source": isolated_entry, "target": "kelowna-entry", "flow": "cut"},
                 {"target": "kamloops-entry-0/control", "flow": "cut"},
             )
-            text = CONFIGURATION + OUT.format(name="kamloops")
+            text = CONFIGURATION + EVACUATED.format(name="kamloops")
             await site.repository.apply(text, author="operator")
-            out_at = clock.monotonic()
-            until = out_at + NO_NEW_WORK_AFTER_S + 1
+            evacuated_at = clock.monotonic()
+            until = evacuated_at + NO_NEW_WORK_AFTER_S + 1
             outcomes = await call_until(
                 site, clock, until, entries=["kamloops-entry-0"], rate_per_s=20
             )
-            late = out_at + NO_NEW_WORK_AFTER_S
+            last_allowed_at = evacuated_at + NO_NEW_WORK_AFTER_S
             ran = 0
             for name in ("kamloops-service-0", "kamloops-service-1"):
-                assert await _executions_after(site, name, late) == []
+                assert await _executions_after(site, name, last_allowed_at) == []
                 ran += len((await site.record(name))["executions"])
             assert ran == len([o for o in outcomes if o.is_served])
             assert {o.ran for o in outcomes if not o.is_served} <= {"no"}
--- a/tests/test_partitions.py
+++ b/tests/test_partitions.py
@@ -1,4 +1,4 @@
-"""Data centres that are cut off from each other, one way and both ways."""
+"""Network partitions between data centres, in one direction and in both."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
 from magnoliagrade_standins.harness import Site, SitePlan, call_service, call_until
 
 DATA_CENTRES = ("kamloops", "kelowna", "vernon")
-RELINK_LIMIT_S = 20.0
+RELINK_TIMEOUT_S = 20.0
 
 
 def _plan():
@@ -25,24 +25,26 @@
 
 
 async def _wait_for_peers(site, clock, entry, expected):
-    limit = clock.monotonic() + RELINK_LIMIT_S
+    deadline = clock.monotonic() + RELINK_TIMEOUT_S
     while (peers := await _peers_of(site, entry)) != expected:
-        assert clock.monotonic() < limit, f"{entry} has peers {peers}"
+        assert clock.monotonic() < deadline, f"{entry} has peers {peers}"
         await clock.sleep(0.1)
 
 
-def test_each_data_centre_serves_on_when_cut_off_both_ways():
+def test_data_centres_serve_requests_during_a_two_way_partition():
     async def main():
         clock = SystemClock()
         async with Site(plan=_plan()) as site:
-            own = site.source_of("kamloops")
+            local_source = site.source_of("kamloops")
             others = [n for n in DATA_CENTRES if n != "kamloops"]
-            cuts = [{"source": own, "target": n, "flow": "cut"} for n in others]
+            cuts = [
+                {"source": local_source, "target": n, "flow": "cut"} for n in others
+            ]
             cuts += [
                 {"source": site.source_of(n), "target": "kamloops", "flow": "cut"}
                 for n in others
             ]
-            cuts.append({"source": own, "target": "platform", "flow": "cut"})
+            cuts.append({"source": local_source, "target": "platform", "flow": "cut"})
             await site.set_rules(*cuts)
             until = clock.monotonic() + 2
             entries = list(site.entry_by_name)
@@ -56,14 +58,18 @@
     asyncio.run(main())
 
 
-def test_one_way_cut_ends_the_link_and_work_goes_elsewhere():
+def test_one_way_partition_ends_the_link_and_work_goes_to_a_third_data_centre():
     async def main():
         clock = SystemClock()
         async with Site(plan=_plan()) as site:
-            own = site.source_of("kamloops")
-            # Nothing gets from kamloops to kelowna, whoever opens the connection.
+            local_source = site.source_of("kamloops")
+            # Drops data from kamloops to kelowna on connections opened by either side.
             await site.set_rules(
-                {"source": own, "target": "kelowna", "flow": "stall-to-target"},
+                {
+                    "source": local_source,
+                    "target": "kelowna",
+                    "flow": "stall-to-target",
+                },
                 {
                     "source": site.source_of("kelowna"),
                     "target": "kamloops",
@@ -81,7 +87,7 @@
     asyncio.run(main())
 
 
-def test_agent_that_restarts_while_the_platform_is_down_is_linked_again():
+def test_agent_restarted_while_the_platform_is_unreachable_gets_work_again():
     async def main():
         clock = SystemClock()
         async with Site(plan=_plan()) as site:
@@ -89,9 +95,9 @@
             agent = site.agent_by_name["kamloops-service-0"]
             await agent.kill()
             await site.start_listed(agent, "agent")
-            limit = clock.monotonic() + RELINK_LIMIT_S
+            deadline = clock.monotonic() + RELINK_TIMEOUT_S
             while not (await site.record("kamloops-service-0"))["executions"]:
-                assert clock.monotonic() < limit
+                assert clock.monotonic() < deadline
                 outcome = await call_service(site, "kamloops-entry-0")
                 assert outcome.is_served or outcome.ran == "no"
                 await clock.sleep(0.1)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,7 @@
-"""SIGTERM of each role while streams, forwards, lookups and orders are in flight."""
+"""SIGTERM to an entry or agent with streams, lookups and orders in flight.
+
+Guards against requests that fail or run twice because a process ends before they do.
+"""
 
 import asyncio
 import json
@@ -15,35 +18,36 @@
 ENTRIES = ("kamloops-entry-0", "kamloops-entry-1", "kelowna-entry-0")
 HEADERS = {"Authorization": "Bearer key-0"}
 TOKENS = 100
-LAG_S = 0.6  # of the balancer, less than the entries' drain_lag_s
-LOAD_S = 2.0
-START_S = 0.3
+BALANCER_LAG_S = 0.6  # less than the entries' drain_lag_s
+LOAD_DURATION_S = 2.0
+LOAD_BEFORE_STOP_S = 0.3
 
 
-def test_each_role_leaves_without_cutting_anything():
-    asyncio.run(_leave_in_turn())
+def test_no_request_fails_when_a_process_of_each_role_shuts_down():
+    asyncio.run(_shut_down_in_turn())
 
 
-async def _leave_in_turn():
+async def _shut_down_in_turn():
     async with Site(plan=PLAN) as site:
         await _warm_up(site)
-        left = []
+        stopped = []
         for name in ("kamloops-service-0", "kamloops-model-0", "kamloops-entry-1"):
-            await _leave(site, name, left)
-            left.append(name)
+            await _shut_down(site, name, stopped)
+            stopped.append(name)
 
 
-async def _leave(site, name, left):
+async def _shut_down(site, name, stopped):
     clock = SystemClock()
     entries = [e for e in ENTRIES if e != name]
     streams = [asyncio.create_task(_stream(site, f"{name}-{i}", i)) for i in range(6)]
-    # Callers reach the leaving entry for as long as the balancer lags.
-    lagging = clock.monotonic() + START_S + LAG_S
+    # The balancer in front of the entries still sends requests to the entry that shuts
+    # down for BALANCER_LAG_S.
+    lag_end = clock.monotonic() + LOAD_BEFORE_STOP_S + BALANCER_LAG_S
     load = asyncio.gather(
-        _load(site, clock, lagging, ENTRIES),
-        _load(site, clock, clock.monotonic() + LOAD_S, entries),
+        _load(site, clock, lag_end, ENTRIES),
+        _load(site, clock, clock.monotonic() + LOAD_DURATION_S, entries),
     )
-    await clock.sleep(START_S)
+    await clock.sleep(LOAD_BEFORE_STOP_S)
     process = {**site.entry_by_name, **site.agent_by_name}[name]
     code = await process.stop()
     outcomes = [o for part in await load for o in part]
@@ -51,7 +55,7 @@
     assert code == 0
     failed = [o for o in outcomes if o.status != 200]
     assert not failed, (name, failed[:3])
-    await _check_runs(site, outcomes)
+    await _check_executions(site, outcomes)
 
 
 def test_outcomes_of_keyed_orders_are_recorded_before_an_entry_ends():
@@ -67,14 +71,14 @@
     async with Site(plan=plan) as site:
         await site.control_platform("faults", {"latency_s": 0.3})
         keys = [f"key-{i}" for i in range(6)]
-        first = [await _keyed(site, "kamloops-entry-0", key) for key in keys]
+        first = [await _call_with_key(site, "kamloops-entry-0", key) for key in keys]
         assert await site.entry_by_name["kamloops-entry-0"].stop() == 0
-        again = [await _keyed(site, "kamloops-entry-1", key) for key in keys]
+        repeated = [await _call_with_key(site, "kamloops-entry-1", key) for key in keys]
         numbers = [outcome.body["number"] for outcome in first]
-        assert [outcome.body.get("number") for outcome in again] == numbers
+        assert [outcome.body.get("number") for outcome in repeated] == numbers
 
 
-async def _keyed(site, entry, key):
+async def _call_with_key(site, entry, key):
     return await call_service(site, entry, headers={"Idempotency-Key": key})
 
 
@@ -90,7 +94,7 @@
 
 
 async def _warm_up(site):
-    """Wait until every entry serves, so that only the leaving can fail a call."""
+    """Wait until every entry serves, so that only the shutdown can fail a call."""
     for entry in ENTRIES * 4:
         for _ in range(100):
             if (await call_service(site, entry)).status == 200:
@@ -99,7 +103,10 @@
 
 
 async def _stream(site, request_id, number):
-    """Stream through each entry in turn; kelowna's are forwarded."""
+    """Check a stream through the entry chosen round-robin by its number.
+
+    The entry in kelowna forwards its streams, because only kamloops has engines.
+    """
     url = site.caller_url(ENTRIES[number % 3]) + "/v1/completions"
     body = {"model": "swatch", "stream": True, "max_tokens": TOKENS, "prompt": "p"}
     headers = {**HEADERS, "X-Request-Id": request_id}
@@ -112,7 +119,7 @@
     assert texts == [expected_text(request_id, i) for i in range(TOKENS)]
 
 
-async def _check_runs(site, outcomes):
+async def _check_executions(site, outcomes):
     records = [
         await site.record(name) for name in site.back_end_by_name if "service" in name
     ]
--- a/tests/test_store_calls.py
+++ b/tests/test_store_calls.py
@@ -1,4 +1,7 @@
-"""Calls to the store at rest, with a change and when an outage ends."""
+"""Rate of calls to the store when idle, during an outage and after it.
+
+Guards against a rush of calls when the store comes back from an outage.
+"""
 
 import asyncio
 
@@ -7,27 +10,27 @@
 from magnoliagrade_standins.slopes.watching import WatchFleet
 
 
-def test_calls_stay_few_and_come_back_without_a_rush():
-    asyncio.run(_calls())
+def test_call_rate_stays_bounded_when_idle_during_an_outage_and_after_it():
+    asyncio.run(_check_call_rate())
 
 
-async def _calls():
+async def _check_call_rate():
     clock = ManualClock()
     fleet = WatchFleet(clock=clock, data_centres=3, entries=3, seed=5)
     await fleet.start()
-    rest = await fleet.calls_over(60)
-    # Three data centres of two watchers, one call in five seconds each, and reads.
-    assert rest / 60 < 3 * 2 * (1 / 5 + 1 / 24) + 3 * 3 / 15
+    idle_calls = await fleet.calls_over(60)
+    # Each of the 3 data centres has 2 watchers that call every 5 s; reads come on top.
+    assert idle_calls / 60 < 3 * 2 * (1 / 5 + 1 / 24) + 3 * 3 / 15
     await fleet.change("1")
     await fleet.calls_over(5)
     assert fleet.revisions() == {2}
     fleet.store.set_faults(StoreFaults(is_down=True))
-    down = await fleet.calls_over(600)
-    # Two of each data centre probe every three seconds; all poll now and then.
-    assert down / 600 < 3 * 2 / 3 + 3 * 3 / 15
+    outage_calls = await fleet.calls_over(600)
+    # 2 entries of each data centre probe every 3 s; all 3 poll every 15 s.
+    assert outage_calls / 600 < 3 * 2 / 3 + 3 * 3 / 15
     fleet.store.set_faults(StoreFaults())
     per_second = [await fleet.calls_over(1) for _ in range(20)]
-    # No more than one call of each entry in any second.
+    # At most one call per entry in each second after the outage.
     assert max(per_second) <= 9, per_second
     await fleet.change("2")
     await fleet.calls_over(5)
--- a/tests/test_traces_and_logs.py
+++ b/tests/test_traces_and_logs.py
@@ -1,4 +1,8 @@
-"""What real processes write: one trace over all hops, and clean logs."""
+"""Traces, metrics and logs of real processes.
+
+Guards against a trace that is split between hops, and against keys, bodies or header
+values in the logs.
+"""
 
 import asyncio
 import json
@@ -7,16 +11,16 @@
 from magnoliagrade_standins.harness import Site, SitePlan
 from magnoliagrade_standins.traces import assemble_traces, read_spans, trace_lines
 
-TRACE = "4bf92f3577b34da6a3ce929d0e0e4736"
-CALLER_SPAN = "00f067aa0ba902b7"
+TRACE_ID = "4bf92f3577b34da6a3ce929d0e0e4736"
+CALLER_SPAN_ID = "00f067aa0ba902b7"
 SECRETS = ("key-0", "secret-body", "secret-prompt", "secret-claim", "secret-header")
-RECORDED = {"traces": {"sampling": 1}}
+SAMPLE_ALL = {"traces": {"sampling": 1}}
 PLAN = SitePlan(
     entries_by_data_centre={"kamloops": 1, "kelowna": 1},
     engines_by_data_centre={"kelowna": 1},
     services_by_data_centre={"kamloops": 1, "kelowna": 1},
-    entry_settings={**RECORDED, "logs": {"log_level": "DEBUG"}},
-    agent_settings={**RECORDED, "logs": {"log_level": "DEBUG"}},
+    entry_settings={**SAMPLE_ALL, "logs": {"log_level": "DEBUG"}},
+    agent_settings={**SAMPLE_ALL, "logs": {"log_level": "DEBUG"}},
     has_proxy=True,
 )
 HEADERS = {
@@ -26,11 +30,11 @@
 }
 
 
-def test_one_trace_and_clean_logs():
-    asyncio.run(_check())
+def test_request_gets_one_trace_over_all_hops_and_logs_hold_no_secrets():
+    asyncio.run(_check_traces_and_logs())
 
 
-async def _check():
+async def _check_traces_and_logs():
     async with Site(plan=PLAN) as site:
         rule = {
             "source": site.source_of("kamloops-entry-0"),
@@ -48,7 +52,7 @@
         }
     lines = [line for text in text_by_name.values() for line in text.splitlines()]
     _check_trace(read_spans(lines))
-    _check_lines(lines)
+    _check_log_events(lines)
     for name, text in text_by_name.items():
         for secret in SECRETS:
             assert secret not in text, (name, secret)
@@ -56,13 +60,15 @@
 
 async def _send_requests(site):
     url = site.caller_url("kamloops-entry-0")
-    traced = {**HEADERS, "traceparent": f"00-{TRACE}-{CALLER_SPAN}-01"}
+    traced = {**HEADERS, "traceparent": f"00-{TRACE_ID}-{CALLER_SPAN_ID}-01"}
     traced["Idempotent"] = "?1"
     order = f"{url}/orders/reorder"
-    async with site.session.post(order, data=b"secret-body", headers=traced) as answer:
-        # A caller that leaves before the end would be an error of its own.
-        text = await answer.text()
-        assert answer.status == 200, text
+    async with site.session.post(
+        order, data=b"secret-body", headers=traced
+    ) as response:
+        # Reads to the end: a caller that disconnects early is a separate error.
+        text = await response.text()
+        assert response.status == 200, text
     for headers, body in (
         (HEADERS, {"model": "swatch", "prompt": "secret-prompt", "max_tokens": 2}),
         (HEADERS, {"model": "swatch", "prompt": ["secret-prompt"]}),
@@ -71,8 +77,8 @@
         ({**HEADERS, "Idempotency-Key": "secret-claim"}, {"model": "swatch"}),
     ):
         target = f"{url}/v1/completions"
-        async with site.session.post(target, json=body, headers=headers) as answer:
-            await answer.read()
+        async with site.session.post(target, json=body, headers=headers) as response:
+            await response.read()
     host, _, port = (
         site.entry_by_name["kamloops-entry-0"].addresses["caller"].rpartition(":")
     )
@@ -84,27 +90,27 @@
 
 async def _check_metrics(site):
     address = site.entry_by_name["kamloops-entry-0"].addresses["admin"]
-    async with site.session.get(f"http://{address}/metrics") as answer:
-        lines = (await answer.text()).splitlines()
+    async with site.session.get(f"http://{address}/metrics") as response:
+        lines = (await response.text()).splitlines()
     value_by_name = dict(line.rsplit(" ", 1) for line in lines if line[0] != "#")
-    # Two requests were answered by a back end, the others refused.
+    # Two requests got a response from a back end; the others were rejected.
     name = "magnoliagrade_first_byte_seconds"
     assert value_by_name[name + '_count{door="caller"}'] == "2.0"
     assert float(value_by_name[name + '_sum{door="caller"}']) > 0
-    refused = 'magnoliagrade_requests_total{door="caller",result="NO_ROUTE"}'
-    assert value_by_name[refused] == "1.0"
+    rejected = 'magnoliagrade_requests_total{door="caller",result="NO_ROUTE"}'
+    assert value_by_name[rejected] == "1.0"
 
 
 def _check_trace(spans):
-    (root,) = assemble_traces(spans)[TRACE]
-    assert (root.name, root.parent_id) == ("entry.caller", CALLER_SPAN)
+    (root,) = assemble_traces(spans)[TRACE_ID]
+    assert (root.name, root.parent_id) == ("entry.caller", CALLER_SPAN_ID)
     assert root.attributes["magnoliagrade.request_id"] == "traced"
-    failed, answered = root.children
-    assert (failed.name, answered.name) == ("attempt", "attempt")
-    assert failed.is_error and not answered.is_error
+    failed, succeeded = root.children
+    assert (failed.name, succeeded.name) == ("attempt", "attempt")
+    assert failed.is_error and not succeeded.is_error
     assert failed.attributes["magnoliagrade.endpoint"] == "kamloops-service-0"
     hops = []
-    span = answered
+    span = succeeded
     while span.children:
         (span,) = span.children
         hops.append((span.name, span.instance))
@@ -114,11 +120,11 @@
         ("agent.request", "kelowna-service-0"),
         ("endpoint.call", "kelowna-service-0"),
     ]
-    shown = trace_lines({TRACE: [root]})
-    assert len(shown) == 8 and "FAILED" in shown[2]
+    formatted = trace_lines({TRACE_ID: [root]})
+    assert len(formatted) == 8 and "FAILED" in formatted[2]
 
 
-def _check_lines(lines):
+def _check_log_events(lines):
     records = [json.loads(line) for line in lines]
     events = [r for r in records if "span" not in r]
     for record in events:
@@ -132,8 +138,8 @@
     ]
     assert ended["organisation"] == "organisation-0"
     assert ended["attempt"] and ended["configuration_revision"] == 1
-    refused = [r for r in events if r["event"] == "request.refused"]
+    rejected = [r for r in events if r["event"] == "request.refused"]
     assert {"INVALID_REQUEST", "NO_ROUTE", "UNAUTHENTICATED"} <= {
-        r["code"] for r in refused
+        r["code"] for r in rejected
     }
-    assert all(r["request_id"] for r in refused)
+    assert all(r["request_id"] for r in rejected)
--- a/tests/test_unreachable_endpoint.py
+++ b/tests/test_unreachable_endpoint.py
@@ -1,4 +1,4 @@
-"""An endpoint that refuses connections gets no work until it takes them again."""
+"""An endpoint that refuses connections gets no work until it accepts them again."""
 
 import asyncio
 
@@ -13,29 +13,30 @@
 SERVICE = "kamloops-service-0"
 
 
-def test_dead_endpoint_is_left_out_and_comes_back():
+def test_endpoint_refusing_connections_is_ejected_and_gets_work_after_restart():
     asyncio.run(_kill_and_restart())
 
 
 async def _kill_and_restart():
     async with Site(plan=PLAN) as site:
-        await _until_it_runs(site)
+        await _wait_until_it_gets_work(site)
         await site.back_end_by_name[SERVICE].kill()
-        # More than the retry budget could carry: 3 and a tenth of the requests.
-        answers = [await _lookup(site) for _ in range(60)]
-        assert {a.status for a in answers} == {200}
+        # If the endpoint still got work, the retry budget (3 plus a tenth of the
+        # requests) would not suffice.
+        responses = [await _lookup(site) for _ in range(60)]
+        assert {response.status for response in responses} == {200}
         await site.restart_back_end(SERVICE)
-        await _until_it_runs(site)
+        await _wait_until_it_gets_work(site)
 
 
-async def _until_it_runs(site):
-    before = len(site.journal(SERVICE))
+async def _wait_until_it_gets_work(site):
+    count_before = len(site.journal(SERVICE))
     for _ in range(200):
         await _lookup(site)
-        if len(site.journal(SERVICE)) > before:
+        if len(site.journal(SERVICE)) > count_before:
             return
         await asyncio.sleep(0.05)
-    raise AssertionError(f"{SERVICE} gets no work")
+    raise AssertionError(f"{SERVICE} got no request in 200 lookups")
 
 
 async def _lookup(site):
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""A streamed completion and an order, from caller to back end and back."""
+"""A streamed completion and an order through an entry and an agent to a back end."""
 
 import asyncio
 import json
@@ -14,11 +14,11 @@
 HEADERS = {"Authorization": "Bearer key-0"}
 
 
-def test_completion_and_order_take_the_whole_path():
-    asyncio.run(_take_the_whole_path())
+def test_completion_and_order_get_complete_responses_from_the_back_ends():
+    asyncio.run(_send_completion_and_order())
 
 
-async def _take_the_whole_path():
+async def _send_completion_and_order():
     async with Site(plan=PLAN) as site:
         url = site.caller_url("kamloops-entry-0")
         await _check_completion(site, url)
@@ -46,8 +46,8 @@
         f"{url}/orders/reorder", data=b"3 books", headers=HEADERS
     ) as response:
         assert response.status == 200, await response.text()
-        answer = await response.json()
-    assert answer["echo"] == "3 books"
+        response_body = await response.json()
+    assert response_body["echo"] == "3 books"
     record = await site.record("kamloops-service-0")
     runs = [(e["id"], e["path"]) for e in record["executions"]]
-    assert runs == [(answer["id"], "/reorder")]
+    assert runs == [(response_body["id"], "/reorder")]
