--- a/examples/plot_arrivals.py
+++ b/examples/plot_arrivals.py
@@ -2,8 +2,8 @@
 Open-loop arrivals of a load
 ============================
 
-Requests arrive as a Poisson process whatever the answers do, and a few organisations
-send most of them.
+Requests arrive as a Poisson process, whether or not earlier ones have been responded
+to. A few organisations send most of them.
 """
 
 from collections import Counter
--- a/examples/plot_latency.py
+++ b/examples/plot_latency.py
@@ -2,8 +2,8 @@
 Latency by percentile
 =====================
 
-A histogram keeps the tail that a mean hides: here one answer in fifty takes ten times
-as long.
+A histogram shows the tail that a mean hides. In this sample, one response in fifty
+takes ten times as long as the others.
 """
 
 import random
--- a/examples/show_affinity.py
+++ b/examples/show_affinity.py
@@ -1,9 +1,9 @@
 """
-Placing prompts by rendezvous hashing
-=====================================
+Assigning prompts by rendezvous hashing
+=======================================
 
-Each prompt prefers the endpoint with the highest weight for it. Taking an endpoint
-away moves only the prompts that were placed there.
+Each prompt is assigned to the endpoint with the highest weight for it. Removing an
+endpoint moves only the prompts that were assigned to it.
 """
 
 from magnoliagrade.algorithms import rendezvous_order
--- a/examples/show_error_table.py
+++ b/examples/show_error_table.py
@@ -1,9 +1,9 @@
 """
-What callers are told about an error
-====================================
+What an error response reports to callers
+=========================================
 
-Each kind of error has one answer: an HTTP status, whether the request ran at its back
-end, and whether the same request may be sent again.
+Each kind of error has one response. It gives the HTTP status, whether the request ran
+at its back end, and whether the same request may be sent again.
 """
 
 from magnoliagrade.errors import ErrorKind, MagnoliagradeError, problem_details
--- a/examples/show_selectors.py
+++ b/examples/show_selectors.py
@@ -2,8 +2,8 @@
 Selecting endpoints by labels
 =============================
 
-Draining an endpoint is a change of a label: the selector of its pool does not
-change, the endpoint merely stops to match.
+An endpoint is drained by changing a label. The selector of its pool stays the same;
+the endpoint no longer matches it.
 """
 
 from magnoliagrade.algorithms import parse_selector
