--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -1,7 +1,7 @@
-"""Plugin of nose2 that passes over the tests listed in KNOWN-RED.txt.
+"""nose2 plugin that excludes the tests listed in KNOWN-RED.txt and prints their ids.
 
-An entry of the file starts with a line `test: ID`; the lines below it give the
-command, the seed, what was seen and the open issue. Listed tests are printed.
+An entry of the file starts with a line `test: ID`. The lines below it give the
+command, the seed, the failure that was seen and the open issue.
 """
 
 import pathlib
@@ -15,7 +15,7 @@
 
 
 class KnownRed(events.Plugin):
-    """Leaves out listed tests and says so."""
+    """Removes listed tests from the run and prints a line for each."""
 
     configSection = "known-red"  # noqa: N815
 
@@ -26,7 +26,7 @@
         self.ids = {line[len(MARK) :] for line in lines if line.startswith(MARK)}
 
     def startTestRun(self, event):  # noqa: N802
-        """Take the listed tests out of the suite."""
+        """Remove the listed tests from the suite before it runs."""
         event.suite = self._without_listed(event.suite)
 
     def _without_listed(self, suite):
