--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Installs the locked libraries and the workspace's packages into target/deps, compiled,
-# unless that holds them already.
+# Installs the locked libraries and the workspace's packages into target/deps and compiles
+# them to bytecode. Skips what has not changed since the last build.
 set -eu
 libraries=target/deps/libraries-from
 built=target/deps/built
