--- a/demo.sh
+++ b/demo.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Sets up the workspace and runs the main job; flags are passed on to it.
+# Sets up the workspace and runs the demo with the given flags.
 set -euo pipefail
 cd "$(dirname "$0")"
 bash .ci/setup
