--- a/packages/magnoliagrade-standins/magnoliagrade_standins/demo/run.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/demo/run.py
@@ -6,7 +6,7 @@
 from magnoliagrade_standins.demo.skew import SkewReport, watch_skew
 from magnoliagrade_standins.load import (
     LoadPlan,
-    judge_orders,
+    check_orders,
     run_load,
     summarise,
 )
@@ -116,7 +116,7 @@
     }
     services = [n for n, record in record_by_name.items() if "executions" in record]
     executions = [e for n in services for e in record_by_name[n]["executions"]]
-    orders = judge_orders(outcomes, executions)
+    orders = check_orders(outcomes, executions)
     engines = {n: r for n, r in record_by_name.items() if "falls" in r}
     return DemoResult(
         report=summarise(outcomes, duration_s=load.duration_s, orders=orders),
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/demo/tests/test_demo.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/demo/tests/test_demo.py
@@ -7,7 +7,7 @@
 from magnoliagrade_standins.demo import DemoPlan, DemoResult
 from magnoliagrade_standins.demo.command import result_text
 from magnoliagrade_standins.demo.skew import SkewReport
-from magnoliagrade_standins.load import OrderVerdicts, summarise
+from magnoliagrade_standins.load import OrderCheckResult, summarise
 
 SMALL = ("--data_centres=vernon", "--entries=1", "--engines=1", "--services=1")
 STEP_TIMEOUT_S = 60
@@ -73,7 +73,7 @@
 
 def test_verdict_needs_good_answers_and_one_map_in_each_step():
     result = DemoResult(
-        report=summarise([], duration_s=1.0, orders=OrderVerdicts()),
+        report=summarise([], duration_s=1.0, orders=OrderCheckResult()),
         executions_by_service={},
         falls_by_engine={},
         peak_load_by_engine={},
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/load/__init__.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/load/__init__.py
@@ -7,21 +7,21 @@
     load_command,
     print_progress,
 )
+from magnoliagrade_standins.load.order_checks import OrderCheckResult, check_orders
 from magnoliagrade_standins.load.plan import LoadPlan
 from magnoliagrade_standins.load.plot import plot_report
 from magnoliagrade_standins.load.report import LoadReport, summarise
 from magnoliagrade_standins.load.run import Progress, run_load
-from magnoliagrade_standins.load.verdicts import OrderVerdicts, judge_orders
 
 __all__ = [
     "Arrival",
     "LoadPlan",
     "LoadReport",
-    "OrderVerdicts",
+    "OrderCheckResult",
     "Outcome",
     "Progress",
     "fetch_executions",
-    "judge_orders",
+    "check_orders",
     "load_command",
     "make_arrivals",
     "plot_report",
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/load/command.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/load/command.py
@@ -7,11 +7,11 @@
 import aiohttp
 
 from magnoliagrade_standins.flags import split_flags
+from magnoliagrade_standins.load.order_checks import check_orders
 from magnoliagrade_standins.load.plan import LoadPlan
 from magnoliagrade_standins.load.plot import plot_report
 from magnoliagrade_standins.load.report import summarise
 from magnoliagrade_standins.load.run import run_load
-from magnoliagrade_standins.load.verdicts import judge_orders
 
 __all__ = ["fetch_executions", "load_command", "print_progress"]
 
@@ -91,7 +91,7 @@
     if records:
         async with aiohttp.ClientSession() as session:
             executions = await fetch_executions(session, records)
-        orders = judge_orders(outcomes, executions)
+        orders = check_orders(outcomes, executions)
     return summarise(outcomes, duration_s=plan.duration_s, orders=orders)
 
 
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/load/verdicts.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/load/order_checks.py
@@ -5,11 +5,11 @@
 
 from magnoliagrade_standins.load.arrivals import Kind
 
-__all__ = ["OrderVerdicts", "judge_orders"]
+__all__ = ["OrderCheckResult", "check_orders"]
 
 
 @dataclass(slots=True, kw_only=True)
-class OrderVerdicts:
+class OrderCheckResult:
     """Orders whose executions do not fit what their callers were told.
 
     Parameters
@@ -45,7 +45,7 @@
         return not any(found)
 
 
-def judge_orders(outcomes, executions):
+def check_orders(outcomes, executions):
     """Compare what callers were told with what services recorded.
 
     Parameters
@@ -57,7 +57,7 @@
 
     Returns
     -------
-    verdicts : OrderVerdicts
+    verdicts : OrderCheckResult
         Ids are sorted.
 
     Notes
@@ -67,7 +67,7 @@
     """
     runs_by_id = Counter(e["id"] for e in executions if e["method"] == "POST")
     by_id = {o.arrival.id: o for o in outcomes if o.arrival.kind is Kind.ORDER}
-    verdicts = OrderVerdicts(orders=len(by_id))
+    verdicts = OrderCheckResult(orders=len(by_id))
     for request_id, outcome in sorted(by_id.items()):
         runs = runs_by_id[request_id]
         verdicts.executed += runs > 0
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/load/report.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/load/report.py
@@ -33,7 +33,7 @@
         microseconds.
     good_by_organisation : dict of str to tuple of int
         Good answers and requests sent.
-    orders : OrderVerdicts or None
+    orders : OrderCheckResult or None
         Verdicts on orders, if records were at hand.
     """
 
@@ -115,7 +115,7 @@
         Outcomes of a load.
     duration_s : float
         Time during which requests arrived.
-    orders : OrderVerdicts, optional
+    orders : OrderCheckResult, optional
         Verdicts on orders.
     """
     report = LoadReport(
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/load/tests/test_load.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/load/tests/test_load.py
@@ -12,7 +12,7 @@
     Arrival,
     LoadPlan,
     Outcome,
-    judge_orders,
+    check_orders,
     make_arrivals,
     plot_report,
     run_load,
@@ -47,13 +47,13 @@
         _order("lied", "no", 503),
     ]
     runs = ["kept", "twice", "twice", "lied", "stranger"]
-    verdicts = judge_orders(outcomes, [{"id": i, "method": "POST"} for i in runs])
+    verdicts = check_orders(outcomes, [{"id": i, "method": "POST"} for i in runs])
     assert verdicts.lost == ["lost"]
     assert verdicts.doubled == ["twice"]
     assert verdicts.ran_though_refused == ["lied"]
     assert verdicts.foreign == ["stranger"]
     assert not verdicts.is_clean
-    kept = judge_orders(outcomes[:1], [{"id": "kept", "method": "POST"}])
+    kept = check_orders(outcomes[:1], [{"id": "kept", "method": "POST"}])
     assert kept.is_clean and kept.executed == 1
 
 
