--- a/packages/magnoliagrade-standins/magnoliagrade_standins/trials/__init__.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/trials/__init__.py
@@ -1,4 +1,4 @@
-"""Trials: experiments with real processes, run by one command each."""
+"""Trials: experiments with real processes that the `trial` command runs by name."""
 
 from magnoliagrade_standins.trials.registry import (
     Check,
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/trials/capacity.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/trials/capacity.py
@@ -1,4 +1,4 @@
-"""Trial of limits and credits: cold start and restarts under twice the capacity."""
+"""Trial of limits and credits: cold start and restarts at twice the capacity."""
 
 import asyncio
 import random
@@ -14,12 +14,12 @@
     "capacity_configuration",
     "capacity_plan",
     "check_engines",
-    "order_engine",
+    "control_engine",
     "run_capacity",
 ]
 
-ENTRIES = {"kamloops": 3, "kelowna": 2, "vernon": 2}
-ENGINES = {"kamloops": 2, "kelowna": 2, "vernon": 2}
+ENTRIES_BY_DATA_CENTRE = {"kamloops": 3, "kelowna": 2, "vernon": 2}
+ENGINES_BY_DATA_CENTRE = {"kamloops": 2, "kelowna": 2, "vernon": 2}
 COLD_TOKENS = 600
 WARM_TOKENS = 3000
 ENGINE_OPTIONS = {
@@ -28,23 +28,24 @@
     "warm_tokens": WARM_TOKENS,
     "warm_after_tokens": 2000,
 }
-# Requests a second of one warm engine of these options under this load.
-WARM_RATE_PER_S = 16.0
-WARM_PARTS = 12
-FAULTS = ("engine", "agent", "both")
+# Requests per second that one warm engine with `ENGINE_OPTIONS` completes under
+# the load of these trials.
+WARM_ENGINE_RATE_PER_S = 16.0
+MAX_WARM_UP_ROUNDS = 12
+FAULT_KINDS = ("engine", "agent", "both")
 
 
 def capacity_configuration(*, routing="prefix-affinity", options=None, shares=None):
-    """Return the harness's configuration with limits that fit the trial's engines.
+    """Return the harness's configuration with limits for the trial's engines.
 
     Parameters
     ----------
     routing : str
         Routing policy of the model pool.
     options : dict of str to str
-        Options of the model pool, by dotted name.
+        Options of the model pool by dotted name.
     shares : dict of str to float
-        Shares of organisations, by name.
+        Shares of organisations by name.
     """
     rows = "".join(f"\n{k} = {v}" for k, v in (options or {}).items())
     pool = f"cold_limit = {COLD_TOKENS}\nfull_limit = {WARM_TOKENS}"
@@ -58,32 +59,33 @@
 
 
 def capacity_plan(*, configuration, engines=None, entries=None, **engine_options):
-    """Return the plan of a site of seven entries and six engines.
+    """Return the plan of a site, by default with seven entries and six engines.
 
     Parameters
     ----------
     configuration : str
         INI text of the operators' configuration.
-    engines, entries : dict of str to int
-        Other numbers by data centre.
+    engines, entries : dict of str to int, optional
+        Number of processes by data centre; `ENGINES_BY_DATA_CENTRE` and
+        `ENTRIES_BY_DATA_CENTRE` by default.
     **engine_options
-        Other fields of the engines' profile.
+        Fields of the engines' profile that override `ENGINE_OPTIONS`.
     """
     return SitePlan(
-        entries_by_data_centre=entries or ENTRIES,
-        engines_by_data_centre=engines or ENGINES,
+        entries_by_data_centre=entries or ENTRIES_BY_DATA_CENTRE,
+        engines_by_data_centre=engines or ENGINES_BY_DATA_CENTRE,
         engine_options={**ENGINE_OPTIONS, **engine_options},
         configuration=configuration,
     )
 
 
 async def check_engines(result, site):
-    """Check from the engines' own records that none was given too much.
+    """Check in the engines' records that none was loaded beyond its capacity.
 
     Parameters
     ----------
     result : TrialResult
-        Gets the checks.
+        Result that the checks are added to.
     site : Site
         The running site.
     """
@@ -95,8 +97,8 @@
     result.figures["engine_requests"] = sum(len(r["requests"]) for r in records)
 
 
-async def order_engine(site, name, **order):
-    """Give a back end's stand-in an order.
+async def control_engine(site, name, **command):
+    """Send a control command to the stand-in of an endpoint.
 
     Parameters
     ----------
@@ -104,35 +106,38 @@
         The running site.
     name : str
         Name of the endpoint.
-    **order
-        Fields that its `/control` takes.
+    **command
+        Fields of the JSON body for `/control`.
     """
     address = site.back_end_by_name[name].addresses["http"]
     url = f"http://{address}/control"
-    async with site.session.post(url, json=order) as response:
+    async with site.session.post(url, json=command) as response:
         response.raise_for_status()
 
 
 async def warm_up(site, load):
-    """Send load until every endpoint's limit is the full one.
+    """Send load until every entry gives every endpoint its full limit.
 
     Parameters
     ----------
     site : Site
         The running site.
     load : LoadPlan
-        What to send, in parts of its duration.
+        Load of one round; each round has its own seed.
 
     Raises
     ------
     TimeoutError
-        If the limits have not grown after `WARM_PARTS` parts.
+        If a limit is below the full one after `MAX_WARM_UP_ROUNDS` rounds.
     """
-    for part in range(WARM_PARTS):
-        await run_load(replace(load, seed=load.seed + 100 + part))
+    for number in range(MAX_WARM_UP_ROUNDS):
+        await run_load(replace(load, seed=load.seed + 100 + number))
         if min(await _limits(site)) >= WARM_TOKENS:
             return
-    raise TimeoutError(f"limits are {await _limits(site)}")
+    raise TimeoutError(
+        f"limits of endpoints below {WARM_TOKENS} tokens after "
+        f"{MAX_WARM_UP_ROUNDS} rounds: {await _limits(site)}"
+    )
 
 
 async def _limits(site):
@@ -158,26 +163,27 @@
     streams=0.8,
     fault_pause_s=4.0,
 ):
-    """Run a cold start and restarts at twice the capacity.
+    """Check engines' load through a cold start and restarts under overload.
 
     Parameters
     ----------
     seed : int
-        Seed of load and faults.
+        Seed of the load and of the faults.
     fault : str
-        `none`, `engine` (restarts behind its agent), `agent`, `both` or `all`.
+        Process that is restarted: `none`, `engine` (its agent keeps running),
+        `agent`, `both`, or `all` for these three in turn.
     policy : str
-        Limit policy.
+        Limit policy of the model pool.
     duration_s : float
-        Length of the load.
+        Duration of the load in seconds.
     overload : float
-        Offered rate as a multiple of what the warm engines serve.
-    entries, engines : dict of str to int
-        Other numbers by data centre.
+        Offered rate as a multiple of the warm engines' capacity.
+    entries, engines : dict of str to int, optional
+        Number of processes by data centre, as for `capacity_plan`.
     streams : float
-        Part of the completions that are streamed.
+        Fraction of the completions that are streamed.
     fault_pause_s : float
-        Time between faults, the first one included.
+        Time in seconds before each fault, the first one included.
     """
     result = TrialResult(trial="capacity", seed=seed)
     configuration = capacity_configuration(options={"option.limit.policy": policy})
@@ -185,16 +191,16 @@
     async with Site(plan=plan) as site:
         load = LoadPlan(
             urls=[site.caller_url(n) for n in site.entry_by_name],
-            rate_per_s=overload * WARM_RATE_PER_S * len(site.agent_by_name),
+            rate_per_s=overload * WARM_ENGINE_RATE_PER_S * len(site.agent_by_name),
             duration_s=duration_s,
             seed=seed,
             order_fraction=0.0,
             lookup_fraction=0.0,
             stream_fraction=streams,
         )
-        kinds = {"none": (), "all": FAULTS}.get(fault, (fault,))
+        kinds = {"none": (), "all": FAULT_KINDS}.get(fault, (fault,))
         faults = asyncio.create_task(
-            _bring_faults(
+            _inject_faults(
                 site,
                 random.Random(f"faults {seed}"),
                 kinds=kinds,
@@ -204,36 +210,42 @@
         )
         outcomes = await run_load(load)
         await faults
-        _note(result, outcomes, duration_s)
+        _record_outcomes(result, outcomes, duration_s)
         await check_engines(result, site)
     return result
 
 
-async def _bring_faults(site, rng, *, kinds, count, pause_s):
+async def _inject_faults(site, rng, *, kinds, count, pause_s):
     clock = SystemClock()
     for i in range(count if kinds else 0):
         await clock.sleep(pause_s)
         name = rng.choice(sorted(site.agent_by_name))
         kind = kinds[i % len(kinds)]
         if kind != "agent":
-            await order_engine(site, name, restart=True)
+            await control_engine(site, name, restart=True)
         if kind != "engine":
             agent = site.agent_by_name[name]
             await agent.kill()
             await site.start_listed(agent, "agent")
 
 
-def _note(result, outcomes, duration_s):
+def _record_outcomes(result, outcomes, duration_s):
     report = summarise(outcomes, duration_s=duration_s)
-    whole = [o for o in outcomes if o.is_whole]
-    result.check("answers were whole and own", all(o.is_own for o in whole))
+    complete = [o for o in outcomes if o.is_whole]
+    result.check("answers were whole and own", all(o.is_own for o in complete))
     result.check("some answers came", report.good > 0, report.good)
-    late = [o for o in outcomes if o.code == "no-answer"]
-    result.check("no caller was left without an answer", not late, len(late))
+    unanswered = [o for o in outcomes if o.code == "no-answer"]
+    result.check(
+        "no caller was left without an answer", not unanswered, len(unanswered)
+    )
     result.figures["offered_per_s"] = report.sent / duration_s
     result.figures["goodput_per_s"] = report.goodput_per_s
-    last = [o for o in outcomes if o.is_good and o.arrival.at_s > 0.75 * duration_s]
-    result.figures["goodput_last_quarter_per_s"] = len(last) / (0.25 * duration_s)
+    last_quarter = [
+        o for o in outcomes if o.is_good and o.arrival.at_s > 0.75 * duration_s
+    ]
+    result.figures["goodput_last_quarter_per_s"] = len(last_quarter) / (
+        0.25 * duration_s
+    )
     result.figures["good_tokens_per_s"] = report.good_tokens / duration_s
     for p in (50, 95):
         value = report.percentile_s("first token", p)
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/trials/claim_cost.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/trials/claim_cost.py
@@ -1,4 +1,4 @@
-"""Trial of claims: store calls that keyed orders cost with each keeper."""
+"""Trial of claims: store calls per keyed order with each claims keeper."""
 
 import asyncio
 import re
@@ -10,7 +10,7 @@
 __all__ = ["run_claim_cost"]
 
 ENTRIES = ("kamloops-entry-0", "kamloops-entry-1", "kelowna-entry-0")
-_CALLS = re.compile(
+_CLAIM_CALLS = re.compile(
     r'^magnoliagrade_store_calls_total\{purpose="claims",result="(\w+)",'
     r'verb="(\w+)"\} ([0-9.e+]+)$',
     re.MULTILINE,
@@ -19,24 +19,24 @@
 
 @trials.register("claim-cost")
 async def run_claim_cost(*, seed, rates="20,100,300", duration_s=4.0, shards=4):
-    """Send keyed orders at several rates and count the store's calls.
+    """Send keyed orders at several rates and count the calls to the store.
 
     Parameters
     ----------
     seed : int
-        Not used; arrivals are evenly spaced.
+        Unused, because arrivals are evenly spaced.
     rates : str
-        Orders a second, separated by commas.
+        Orders per second, separated by commas.
     duration_s : float
-        Length of each run in seconds.
+        Duration of each run in seconds.
     shards : int
-        Shards of batched claims.
+        Number of shards of the batched keeper.
 
     Returns
     -------
     result : TrialResult
-        Store calls per thousand orders by keeper and rate, and the median time of
-        an order.
+        Store calls per thousand orders and the median time of an order, by keeper
+        and rate.
     """
     result = TrialResult(trial="claim-cost", seed=seed)
     rates = [float(r) for r in re.split(r"[,\s()]+", str(rates)) if r]
@@ -48,41 +48,41 @@
             entry_settings=settings,
         )
         async with Site(plan=plan) as site:
-            await _send(site, f"{keeper}-first", 20.0, 2.0)
+            await _send_orders(site, f"{keeper}-first", 20.0, 2.0)
             for rate in rates:
-                await _measure(result, site, keeper, rate, duration_s)
+                await _measure_claim_calls(result, site, keeper, rate, duration_s)
     return result
 
 
-async def _measure(result, site, keeper, rate, duration_s):
+async def _measure_claim_calls(result, site, keeper, rate, duration_s):
     before = await _claim_calls(site)
-    times = await _send(site, f"{keeper}-{rate:g}", rate, duration_s)
+    times = await _send_orders(site, f"{keeper}-{rate:g}", rate, duration_s)
     await asyncio.sleep(1.0)
-    spent = await _claim_calls(site) - before
+    calls = await _claim_calls(site) - before
     label = f"{keeper} at {rate:g}/s"
     served = [t for t in times if t is not None]
     result.check(f"{label}: half of the orders served", len(served) * 2 > len(times))
-    result.figures[f"{label}: store calls per 1000 orders"] = 1000 * spent / len(times)
-    result.figures[f"{label}: store calls per s"] = spent / duration_s
+    result.figures[f"{label}: store calls per 1000 orders"] = 1000 * calls / len(times)
+    result.figures[f"{label}: store calls per s"] = calls / duration_s
     result.figures[f"{label}: served"] = len(served) / len(times)
     result.figures[f"{label}: median order ms"] = (
         1000 * sorted(served)[len(served) // 2]
     )
 
 
-async def _send(site, label, rate, duration_s):
+async def _send_orders(site, label, rate, duration_s):
     tasks = []
     for number in range(int(rate * duration_s)):
         entry = ENTRIES[number % len(ENTRIES)]
-        tasks.append(asyncio.create_task(_order(site, entry, f"{label}-{number}")))
+        tasks.append(asyncio.create_task(_send_order(site, entry, f"{label}-{number}")))
         await asyncio.sleep(1 / rate)
     return await asyncio.gather(*tasks)
 
 
-async def _order(site, entry, key):
+async def _send_order(site, entry, key):
     started = time.perf_counter()
-    answer = await call_service(site, entry, headers={"Idempotency-Key": key})
-    return time.perf_counter() - started if answer.status == 200 else None
+    outcome = await call_service(site, entry, headers={"Idempotency-Key": key})
+    return time.perf_counter() - started if outcome.status == 200 else None
 
 
 async def _claim_calls(site):
@@ -91,5 +91,5 @@
         url = f"http://{entry.addresses['admin']}/metrics"
         async with site.session.get(url) as response:
             text = await response.text()
-        total += sum(float(count) for _, _, count in _CALLS.findall(text))
+        total += sum(float(count) for _, _, count in _CLAIM_CALLS.findall(text))
     return total
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/trials/fairness.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/trials/fairness.py
@@ -1,4 +1,4 @@
-"""Trial of fairness: one organisation at ten times its share."""
+"""Trial of fairness: one organisation sends ten times its share."""
 
 import asyncio
 from dataclasses import replace
@@ -6,7 +6,7 @@
 from magnoliagrade_standins.harness import KEY_BY_ORGANISATION, Site
 from magnoliagrade_standins.load import LoadPlan, run_load, summarise
 from magnoliagrade_standins.trials.capacity import (
-    WARM_RATE_PER_S,
+    WARM_ENGINE_RATE_PER_S,
     capacity_configuration,
     capacity_plan,
     check_engines,
@@ -16,34 +16,39 @@
 
 __all__ = ["run_fairness"]
 
-LARGE = "organisation-0"
+LARGE_ORGANISATION = "organisation-0"
 SETTLE_S = 5.0
-TOLERANCE = 1.10
+MAX_FIRST_TOKEN_RATIO = 1.10
 
 
 @trials.register("fairness")
 async def run_fairness(*, seed, queue="fair", factor=10.0, load=0.6, duration_s=20.0):
-    """Compare others' first tokens with one organisation at once and ten times.
+    """Measure how far one organisation's overload delays the others' first tokens.
+
+    Compares two runs: the large organisation sends at the others' rate, then at
+    `factor` times that rate.
 
     Parameters
     ----------
     seed : int
         Seed of the loads.
     queue : str
-        Queue policy.
+        Queue policy of the model pool.
     factor : float
-        The large organisation's rate as a multiple of the others'.
+        Rate of the large organisation as a multiple of that of each other one.
     load : float
-        Rate of all organisations at once, as a fraction of what the warm engines
-        serve.
+        Rate of all organisations together in the first run, as a fraction of the
+        warm engines' capacity.
     duration_s : float
-        Length of each of the two runs; its first 5 s do not count.
+        Duration of each run in seconds; its first 5 s are not counted.
     """
     result = TrialResult(trial="fairness", seed=seed)
     configuration = capacity_configuration(options={"option.queue.policy": queue})
     async with Site(plan=capacity_plan(configuration=configuration)) as site:
-        capacity = WARM_RATE_PER_S * len(site.agent_by_name)
-        others = {k: v for k, v in KEY_BY_ORGANISATION.items() if k != LARGE}
+        capacity = WARM_ENGINE_RATE_PER_S * len(site.agent_by_name)
+        others = {
+            k: v for k, v in KEY_BY_ORGANISATION.items() if k != LARGE_ORGANISATION
+        }
         each_per_s = load * capacity / (len(others) + 1)
         base = LoadPlan(
             urls=[site.caller_url(n) for n in site.entry_by_name],
@@ -63,7 +68,9 @@
     ratio = at_factor / at_once
     result.figures["ratio"] = ratio
     result.check(
-        "others' 95 % first token moved by at most 10 %", ratio <= TOLERANCE, ratio
+        "others' 95 % first token moved by at most 10 %",
+        ratio <= MAX_FIRST_TOKEN_RATIO,
+        ratio,
     )
     return result
 
@@ -73,7 +80,9 @@
         base,
         rate_per_s=large_per_s,
         seed=base.seed + 1000,
-        key_by_organisation={LARGE: KEY_BY_ORGANISATION[LARGE]},
+        key_by_organisation={
+            LARGE_ORGANISATION: KEY_BY_ORGANISATION[LARGE_ORGANISATION]
+        },
     )
     of_others, of_large = await asyncio.gather(run_load(base), run_load(large))
     reports = {"others": of_others, "large": of_large}
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/trials/order_faults.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/trials/order_faults.py
@@ -1,4 +1,4 @@
-"""Faults that the trial of outcomes brings about while orders arrive."""
+"""Faults that the trial of outcomes injects while orders arrive."""
 
 import asyncio
 
@@ -6,26 +6,26 @@
 
 __all__ = ["faults"]
 
-HOLD_S = 0.7
+FAULT_DURATION_S = 0.7
 SERVICE = "kamloops-service-0"
 
 faults = Registry(family="fault")
 
 
 @faults.register("none")
-async def bring_nothing(site, rng):
-    """Leave everything as it is."""
+async def inject_no_fault(site, rng):
+    """Inject no fault: the baseline."""
 
 
 @faults.register("link-cut-before")
-async def cut_before_hand_over(site, rng):
-    """Cut the data path to an agent with requests that have not arrived."""
+async def cut_before_delivery(site, rng):
+    """Cut the data connections to an agent before it receives their requests."""
     await _stall_and_cut(site, f"{SERVICE}/data", "stall-to-target")
 
 
 @faults.register("link-cut-during")
-async def cut_during_hand_over(site, rng):
-    """Cut the data path to an agent again and again."""
+async def cut_during_delivery(site, rng):
+    """Cut the data connections to an agent six times at random intervals."""
     for _ in range(6):
         await site.set_rules({"target": f"{SERVICE}/data", "flow": "cut"})
         await asyncio.sleep(rng.uniform(0.01, 0.05))
@@ -34,24 +34,24 @@
 
 
 @faults.register("link-cut-after")
-async def cut_after_hand_over(site, rng):
-    """Cut the data path to an agent with answers that have not arrived."""
+async def cut_after_delivery(site, rng):
+    """Cut the data connections to an agent before its responses reach the entry."""
     await _stall_and_cut(site, f"{SERVICE}/data", "stall-from-target")
 
 
 @faults.register("both-links-cut")
-async def cut_data_and_control(site, rng):
-    """Cut data and control path to an agent with answers on their way."""
+async def cut_data_and_control_links(site, rng):
+    """Cut an agent's data and control connections while responses are in transit."""
     await site.set_rules({"target": f"{SERVICE}/data", "flow": "stall-from-target"})
     await asyncio.sleep(0.2)
     await site.set_rules({"target": SERVICE, "flow": "cut"})
-    await asyncio.sleep(HOLD_S)
+    await asyncio.sleep(FAULT_DURATION_S)
     await site.set_rules()
 
 
 @faults.register("peer-link-cut")
-async def cut_peer(site, rng):
-    """Cut the data path between data centres with forwards on their way."""
+async def cut_peer_link(site, rng):
+    """Cut forwarding between data centres while responses are in transit."""
     await _stall_and_cut(site, "kamloops-entry", "stall-from-target")
 
 
@@ -60,7 +60,7 @@
     """Kill an entry and start it again."""
     entry = site.entry_by_name["kamloops-entry-1"]
     await entry.kill()
-    await asyncio.sleep(HOLD_S)
+    await asyncio.sleep(FAULT_DURATION_S)
     await site.start_listed(entry, "entry")
 
 
@@ -69,16 +69,16 @@
     """Kill an agent and start it again."""
     agent = site.agent_by_name[SERVICE]
     await agent.kill()
-    await asyncio.sleep(HOLD_S)
+    await asyncio.sleep(FAULT_DURATION_S)
     await site.start_listed(agent, "agent")
 
 
 @faults.register("agent-frozen")
 async def freeze_agent(site, rng):
-    """Stop an agent from running for a while."""
+    """Freeze an agent for `FAULT_DURATION_S`, then let it continue."""
     agent = site.agent_by_name[SERVICE]
     agent.freeze()
-    await asyncio.sleep(HOLD_S)
+    await asyncio.sleep(FAULT_DURATION_S)
     agent.thaw()
 
 
@@ -86,13 +86,13 @@
 async def kill_service(site, rng):
     """Kill a plain service and start it again."""
     await site.back_end_by_name[SERVICE].kill()
-    await asyncio.sleep(HOLD_S)
+    await asyncio.sleep(FAULT_DURATION_S)
     await site.restart_back_end(SERVICE)
 
 
 @faults.register("store-answers-lost")
-async def lose_store_answers(site, rng):
-    """Let writes to the store take effect without an answer."""
+async def lose_store_responses(site, rng):
+    """Let writes to the store take effect while their responses are lost."""
     for _ in range(8):
         await site.control_platform("faults", {"lose_write_answers": 2})
         await asyncio.sleep(0.1)
@@ -101,7 +101,7 @@
 
 @faults.register("store-slow")
 async def slow_store(site, rng):
-    """Let each call to the store take half a second."""
+    """Add a latency of 0.5 s to each call to the store."""
     await site.control_platform("faults", {"latency_s": 0.5})
     await asyncio.sleep(1.5)
     await site.control_platform("faults", {})
@@ -109,27 +109,27 @@
 
 @faults.register("store-down")
 async def stop_store(site, rng):
-    """Let the store answer nothing."""
+    """Make the store unavailable for 2 s."""
     await site.control_platform("faults", {"is_down": True})
     await asyncio.sleep(2.0)
     await site.control_platform("faults", {})
 
 
 @faults.register("agent-killed-and-store-answers-lost")
-async def kill_agent_and_lose_answers(site, rng):
-    """Two faults at once."""
-    await asyncio.gather(kill_agent(site, rng), lose_store_answers(site, rng))
+async def kill_agent_and_lose_store_responses(site, rng):
+    """Kill an agent while responses to writes to the store are lost."""
+    await asyncio.gather(kill_agent(site, rng), lose_store_responses(site, rng))
 
 
 @faults.register("entry-killed-and-link-cut-after")
-async def kill_entry_and_cut(site, rng):
-    """Two faults at once."""
-    await asyncio.gather(kill_entry(site, rng), cut_after_hand_over(site, rng))
+async def kill_entry_and_cut_after_delivery(site, rng):
+    """Kill an entry while the data connections to an agent are cut."""
+    await asyncio.gather(kill_entry(site, rng), cut_after_delivery(site, rng))
 
 
 async def _stall_and_cut(site, target, flow):
     await site.set_rules({"target": target, "flow": flow})
-    await asyncio.sleep(HOLD_S)
+    await asyncio.sleep(FAULT_DURATION_S)
     await site.set_rules({"target": target, "flow": "cut"})
     await asyncio.sleep(0.05)
     await site.set_rules()
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/trials/orders.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/trials/orders.py
@@ -1,4 +1,4 @@
-"""Callers that send orders, some with keys, copies and retries."""
+"""Callers that send orders with idempotency keys, concurrent copies and retries."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -7,38 +7,38 @@
 
 __all__ = ["Order", "OrderCaller"]
 
-MAX_SENDS = 5
-RETRY_PAUSE_S = 0.3
+MAX_ATTEMPTS = 5
+RETRY_INTERVAL_S = 0.3
 DEADLINE_S = 6
-KEYED_SHARE = 0.6
-COPIED_SHARE = 0.3
+KEYED_FRACTION = 0.6
+COPIED_FRACTION = 0.3
 
 
 @dataclass(slots=True, kw_only=True)
 class Order:
-    """One order and what its caller saw.
+    """One order and the outcomes that its caller saw.
 
     Parameters
     ----------
     name : str
-        Its body, which the back end records.
+        Body of the order, which the back end records.
     key : str
         Idempotency key, or empty.
     is_copied : bool
-        Whether a copy is sent through another entry at the same time.
-    answer_by_id : dict of str to CallOutcome
-        Answers by the request id that was sent.
+        Whether a copy is sent concurrently through another entry.
+    outcome_by_id : dict of str to CallOutcome
+        Outcome of each call by the request id that was sent.
     """
 
     name: str
     key: str
     is_copied: bool
-    answer_by_id: dict = field(default_factory=dict)
+    outcome_by_id: dict = field(default_factory=dict)
 
     @property
     def is_served(self):
-        """Whether the caller got the back end's answer."""
-        return any(a.status == 200 for a in self.answer_by_id.values())
+        """Whether the caller received the back end's response."""
+        return any(o.status == 200 for o in self.outcome_by_id.values())
 
 
 class OrderCaller:
@@ -47,11 +47,11 @@
     Parameters
     ----------
     site : Site
-        The site.
+        Running site.
     entries : sequence of str
-        Entries.
+        Names of the entries.
     rng : random.Random
-        Source of randomness.
+        Random number generator.
     """
 
     __slots__ = ("_entries", "_rng", "_site", "orders")
@@ -63,15 +63,15 @@
         self.orders = []
 
     async def send_many(self, label, count, *, rate_per_s):
-        """Send orders at a rate and wait for the last answer."""
+        """Send orders as a Poisson process and wait until all of them have ended."""
         tasks = []
         for number in range(count):
-            is_keyed = self._rng.random() < KEYED_SHARE
+            is_keyed = self._rng.random() < KEYED_FRACTION
             name = f"{label}-{number}"
             order = Order(
                 name=name,
                 key=name if is_keyed else "",
-                is_copied=is_keyed and self._rng.random() < COPIED_SHARE,
+                is_copied=is_keyed and self._rng.random() < COPIED_FRACTION,
             )
             self.orders.append(order)
             tasks.append(asyncio.create_task(self._send(order)))
@@ -79,31 +79,33 @@
         await asyncio.gather(*tasks)
 
     async def _send(self, order):
-        lines = [self._send_line(order, 0)]
+        sends = [self._send_with_retries(order, 0)]
         if order.is_copied:
-            lines.append(self._send_line(order, 1))
-        await asyncio.gather(*lines)
-
-    async def _send_line(self, order, line):
-        """Send an order until it is answered; each time through another entry."""
-        start = self._rng.randrange(len(self._entries)) + line
-        for turn in range(MAX_SENDS):
-            entry = self._entries[(start + turn) % len(self._entries)]
-            answer = await self._send_once(order, entry, f"{order.name}-{line}-{turn}")
-            if answer.status == 200 or not _may_send_again(order, answer):
+            sends.append(self._send_with_retries(order, 1))
+        await asyncio.gather(*sends)
+
+    async def _send_with_retries(self, order, copy):
+        """Send an order until it is served, each attempt through another entry."""
+        start = self._rng.randrange(len(self._entries)) + copy
+        for attempt in range(MAX_ATTEMPTS):
+            entry = self._entries[(start + attempt) % len(self._entries)]
+            outcome = await self._send_once(
+                order, entry, f"{order.name}-{copy}-{attempt}"
+            )
+            if outcome.status == 200 or not _is_retry_safe(order, outcome):
                 return
-            await asyncio.sleep(RETRY_PAUSE_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
 
     async def _send_once(self, order, entry, request_id):
         headers = {"X-Request-Id": request_id, "X-Deadline-Seconds": str(DEADLINE_S)}
         if order.key:
             headers["Idempotency-Key"] = order.key
-        answer = await call_service(
+        outcome = await call_service(
             self._site, entry, body=order.name.encode(), headers=headers
         )
-        order.answer_by_id[request_id] = answer
-        return answer
+        order.outcome_by_id[request_id] = outcome
+        return outcome
 
 
-def _may_send_again(order, answer):
-    return bool(order.key) or answer.ran == "no"
+def _is_retry_safe(order, outcome):
+    return bool(order.key) or outcome.ran == "no"
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/trials/registry.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/trials/registry.py
@@ -1,4 +1,4 @@
-"""The registry of trials and what a trial returns."""
+"""Registry of trials, and the result that a trial returns."""
 
 import asyncio
 import importlib
@@ -11,7 +11,7 @@
 
 trials = Registry(family="trial")
 
-# Modules that register trials when they are imported.
+# Modules that register their trials on import.
 TRIAL_MODULES = (
     "magnoliagrade_standins.trials.capacity",
     "magnoliagrade_standins.trials.claim_cost",
@@ -27,16 +27,16 @@
 
 @dataclass(slots=True, kw_only=True)
 class Check:
-    """One statement that a trial checked against the stand-ins' records.
+    """One condition that a trial checked.
 
     Parameters
     ----------
     name : str
-        What must hold.
+        Condition that must hold.
     passed : bool
         Whether it held.
     detail : str
-        What was seen.
+        Observed value.
     """
 
     name: str
@@ -46,18 +46,18 @@
 
 @dataclass(slots=True, kw_only=True)
 class TrialResult:
-    """What one trial found.
+    """Checks and figures of one trial.
 
     Parameters
     ----------
     trial : str
         Name of the trial.
     seed : int
-        Seed that it ran with.
+        Seed of the run.
     checks : list of Check
-        What was checked.
+        Checks in the order in which they were made.
     figures : dict of str to float
-        What was measured, units in the names.
+        Measured values by name; names carry the unit.
     """
 
     trial: str
@@ -66,7 +66,7 @@
     figures: dict = field(default_factory=dict)
 
     def check(self, name, passed, detail=""):
-        """Add a check."""
+        """Add a check with its outcome and the observed value."""
         self.checks.append(Check(name=name, passed=bool(passed), detail=str(detail)))
 
     @property
@@ -75,7 +75,7 @@
         return all(c.passed for c in self.checks)
 
     def lines(self):
-        """Return the result as lines for people."""
+        """Return the result as lines of text."""
         rows = [f"trial {self.trial}, seed {self.seed}"]
         rows += [
             f"  {'pass' if c.passed else 'FAIL'}  {c.name}  {c.detail}".rstrip()
@@ -86,23 +86,23 @@
 
 
 def run_trial(name, *, seed, as_json=False, **options):
-    """Run a trial, print what it found and return it.
+    """Run a trial, print its result and return it.
 
     Parameters
     ----------
     name : str
-        Registered name.
+        Name of the trial in the registry.
     seed : int
-        Seed of everything random in the trial.
+        Seed of all random choices of the trial.
     as_json : bool
-        Whether to print JSON instead of lines for people.
+        Whether to print JSON instead of text.
     **options
-        Passed on to the trial.
+        Keyword arguments of the trial.
 
     Returns
     -------
     result : TrialResult
-        What was found.
+        Checks and figures of the trial.
     """
     _import_trials()
     result = asyncio.run(trials.get(name)(seed=seed, **options))
@@ -112,7 +112,7 @@
 
 
 def trial_functions():
-    """Return the functions of all trials."""
+    """Return the functions of all registered trials in the order of their names."""
     _import_trials()
     return [trials.get(name) for name in trials.names()]
 
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/trials/routing.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/trials/routing.py
@@ -1,4 +1,4 @@
-"""Trial of routing policies: first tokens, prefix hits and goodput on one seed."""
+"""Trial of routing policies: first tokens, prefix cache hits and goodput."""
 
 import asyncio
 from dataclasses import replace
@@ -6,11 +6,11 @@
 from magnoliagrade_standins.harness import Site
 from magnoliagrade_standins.load import LoadPlan, run_load, summarise
 from magnoliagrade_standins.trials.capacity import (
-    WARM_RATE_PER_S,
+    WARM_ENGINE_RATE_PER_S,
     capacity_configuration,
     capacity_plan,
     check_engines,
-    order_engine,
+    control_engine,
     warm_up,
 )
 from magnoliagrade_standins.trials.registry import TrialResult, trials
@@ -18,9 +18,9 @@
 __all__ = ["run_routing"]
 
 SETTLE_S = 8.0
-ENTRIES = {"kamloops": 3}
-ENGINES = {"kamloops": 6}
-SLOW_SCALE = 6.0
+ENTRIES_BY_DATA_CENTRE = {"kamloops": 3}
+ENGINES_BY_DATA_CENTRE = {"kamloops": 6}
+SLOW_STEP_SCALE = 6.0
 
 
 @trials.register("routing")
@@ -33,20 +33,20 @@
     prefixes=48,
     slow=False,
 ):
-    """Run one load under each policy.
+    """Run the same load under each routing policy.
 
     Parameters
     ----------
     seed : int
         Seed of the load.
     policies : sequence of str
-        Routing policies.
+        Names of routing policies.
     load : float
-        Rate as a fraction of what the warm engines serve.
+        Offered rate as a fraction of the warm engines' capacity.
     duration_s : float
-        Length of each run; its first 8 s do not count.
+        Duration of each run in seconds; its first 8 s are not counted.
     prefixes : int
-        Different heads of prompts; each engine caches eight.
+        Number of different prompt prefixes; each engine caches eight.
     slow : bool
         Whether one engine runs six times slower.
     """
@@ -67,13 +67,13 @@
 async def _run_policy(result, policy, *, seed, load, duration_s, prefixes, slow):
     plan = capacity_plan(
         configuration=capacity_configuration(routing=policy),
-        entries=ENTRIES,
-        engines=ENGINES,
+        entries=ENTRIES_BY_DATA_CENTRE,
+        engines=ENGINES_BY_DATA_CENTRE,
         cached_prefixes=8,
         prefill_s=0.0003,
     )
     async with Site(plan=plan) as site:
-        capacity = WARM_RATE_PER_S * len(site.agent_by_name)
+        capacity = WARM_ENGINE_RATE_PER_S * len(site.agent_by_name)
         base = LoadPlan(
             urls=[site.caller_url(n) for n in site.entry_by_name],
             rate_per_s=load * capacity,
@@ -86,7 +86,7 @@
         )
         await warm_up(site, replace(base, rate_per_s=1.5 * capacity, duration_s=5.0))
         if slow:
-            await order_engine(site, "kamloops-model-0", step_scale=SLOW_SCALE)
+            await control_engine(site, "kamloops-model-0", step_scale=SLOW_STEP_SCALE)
         before = await _cache_counts(site)
         outcomes = await run_load(base)
         after = await _cache_counts(site)
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/trials/tests/test_capacity.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/trials/tests/test_capacity.py
@@ -3,7 +3,7 @@
 from magnoliagrade_standins.trials.capacity import run_capacity
 
 
-def test_no_engine_bears_too_much_through_cold_start_and_restarts():
+def test_engines_stay_within_capacity_through_cold_start_and_restarts():
     result = asyncio.run(
         run_capacity(
             seed=3,
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/trials/tests/test_registry.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/trials/tests/test_registry.py
@@ -9,6 +9,6 @@
     return result
 
 
-def test_failed_check_fails_the_trial():
+def test_trial_fails_if_a_check_fails():
     assert run_trial("example", seed=1).passed
     assert not run_trial("example", seed=1, as_json=True, factor=3).passed
