--- a/packages/magnoliagrade-standins/magnoliagrade_standins/demo/tests/test_demo.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/demo/tests/test_demo.py
@@ -41,7 +41,7 @@
             out, progress = await process.communicate()
         text = out.decode()
         assert process.returncode == 0, text + progress.decode()
-        assert "0 lost, 0 doubled, 0 run though refused" in text
+        assert "0 lost, 0 doubled, 0 run though rejected" in text
         assert "verdict            all kept" in text
         assert re.search(r"first token +[\d.]+ ms / [\d.]+ ms / [\d.]+ ms", text)
         assert re.search(r"skew +mean [\d.]+, [\d.]+ at 95 %", text), text
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/load/__init__.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/load/__init__.py
@@ -1,4 +1,4 @@
-"""Load tool: open-loop callers, a verdict on each answer, latency histograms."""
+"""Load generator: open-loop callers, a check of each response, latency histograms."""
 
 from magnoliagrade_standins.load.arrivals import Arrival, make_arrivals
 from magnoliagrade_standins.load.caller import Outcome, send_arrival
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/load/arrivals.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/load/arrivals.py
@@ -1,4 +1,4 @@
-"""Arrivals of a load: when each request comes and what it asks."""
+"""Arrivals of a load: the time and the content of each request."""
 
 import enum
 import random
@@ -10,7 +10,7 @@
 
 
 class Kind(enum.Enum):
-    """What a request asks for."""
+    """Kind of work that a request asks for."""
 
     STREAM = "stream"
     COMPLETION = "completion"
@@ -27,19 +27,19 @@
     id : str
         Request id that the caller sends.
     at_s : float
-        Time of arrival after the start of the load.
+        Time of arrival in seconds after the start of the load.
     url : str
-        Entry that it goes to.
+        URL of the entry that the request is sent to.
     organisation : str
-        Who sends it.
+        Organisation that sends the request.
     kind : Kind
-        What it asks for.
+        Kind of the request.
     prompt : str
         Prompt of a completion; empty for orders and lookups.
     output_tokens : int
-        Tokens asked for; 0 for orders and lookups.
+        Requested number of tokens; 0 for orders and lookups.
     idempotency_key : str
-        Key of an order, or empty.
+        Idempotency key of an order, or empty.
     """
 
     id: str
@@ -53,7 +53,7 @@
 
     @property
     def is_model_work(self):
-        """Whether a model answers it."""
+        """Whether a model serves the request."""
         return self.kind in (Kind.STREAM, Kind.COMPLETION)
 
 
@@ -63,13 +63,13 @@
     Parameters
     ----------
     plan : LoadPlan
-        The plan; equal plans give equal arrivals.
+        Plan of the load; equal plans give equal arrivals.
 
     Returns
     -------
     arrivals : list of Arrival
-        A Poisson process: gaps are drawn from the exponential distribution and
-        do not depend on answers.
+        A Poisson process: inter-arrival times are drawn from the exponential
+        distribution and do not depend on responses.
 
     Examples
     --------
@@ -120,6 +120,6 @@
 
 def _draw_prompt(plan, rng, number):
     prefix = _draw_zipf(rng, range(plan.prefixes), plan)
-    head = f"paper stock {prefix} ".ljust(MIN_PREFIX_BYTES, ".")
+    start = f"paper stock {prefix} ".ljust(MIN_PREFIX_BYTES, ".")
     size = round(rng.expovariate(1 / max(1, plan.prompt_bytes - MIN_PREFIX_BYTES)))
-    return f"{head}question {number} ".ljust(MIN_PREFIX_BYTES + size, "?")
+    return f"{start}question {number} ".ljust(MIN_PREFIX_BYTES + size, "?")
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/load/caller.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/load/caller.py
@@ -1,4 +1,4 @@
-"""A caller: sends one request and judges its answer."""
+"""A caller: sends one request and checks its response."""
 
 import asyncio
 import json
@@ -11,47 +11,49 @@
 
 __all__ = ["Outcome", "send_arrival"]
 
-# A caller waits a little longer than its deadline for the coded answer.
-GRACE_S = 5.0
+# A caller waits longer than its deadline, so that it receives the response with the
+# error code.
+RESPONSE_GRACE_S = 5.0
 END_EVENT = "[DONE]"
 
 
 @dataclass(slots=True, kw_only=True)
 class Outcome:
-    """What came of one arrival, as its caller saw it.
+    """Outcome of one arrival as its caller saw it.
 
     Parameters
     ----------
     arrival : Arrival
-        The request.
+        Request that was sent.
     status : int
-        HTTP status; 0 if none came.
+        HTTP status; 0 if none was received.
     code : str
-        Kind of error that the product named, or what broke; empty if none.
+        Error code of the response, `no-answer`, or `broken-` and the name of the
+        exception; empty if there was no error.
     ran : str
-        What the answer says of whether the request ran: yes, no or unknown.
-    is_whole : bool
-        Whether the answer came to its end.
-    is_own : bool
-        Whether every part belongs to this request.
+        Whether the request ran, according to the response: yes, no or unknown.
+    is_complete : bool
+        Whether the response was received to its end.
+    is_correct : bool
+        Whether every part received belongs to this request.
     is_in_time : bool
-        Whether it came to its end within the caller's deadline.
+        Whether the response was complete within the caller's deadline.
     first_token_s : float or None
-        Time from arrival to the first token of a stream.
+        Time in seconds from arrival to the first token of a stream.
     gaps_s : list of float
-        Times between successive tokens of a stream.
+        Times in seconds between successive tokens of a stream.
     total_s : float
-        Time from arrival to the end.
+        Time in seconds from arrival to the end of the exchange.
     tokens : int
-        Tokens received.
+        Number of tokens received.
     """
 
     arrival: object
     status: int = 0
     code: str = ""
     ran: str = "unknown"
-    is_whole: bool = False
-    is_own: bool = True
+    is_complete: bool = False
+    is_correct: bool = True
     is_in_time: bool = False
     first_token_s: float | None = None
     gaps_s: list = field(default_factory=list)
@@ -60,8 +62,8 @@
 
     @property
     def is_good(self):
-        """Whether the caller got its whole own answer in time."""
-        return self.is_whole and self.is_own and self.is_in_time
+        """Whether the response was complete, correct and in time."""
+        return self.is_complete and self.is_correct and self.is_in_time
 
 
 async def send_arrival(arrival, *, plan, session, clock, due):
@@ -70,54 +72,54 @@
     Parameters
     ----------
     arrival : Arrival
-        What to send.
+        Request to send.
     plan : LoadPlan
-        Keys, applications and deadline.
+        Plan that gives the keys, applications and deadline.
     session : aiohttp.ClientSession
-        Session whose connections are used.
+        HTTP session to use.
     clock : Clock
         Source of time.
     due : float
-        Monotonic time at which the request was due to arrive; times count from
-        here, so that a busy caller does not hide waiting.
+        Monotonic time in seconds at which the request was scheduled. Latencies are
+        measured from it, so that a delay in the load generator is not omitted.
 
     Returns
     -------
     outcome : Outcome
-        The caller's view; never raises for a failed request.
+        Outcome as the caller saw it; a failed request does not raise.
     """
     outcome = Outcome(arrival=arrival)
     try:
-        async with asyncio.timeout(plan.deadline_s + GRACE_S):
+        async with asyncio.timeout(plan.deadline_s + RESPONSE_GRACE_S):
             await _exchange(outcome, plan, session, clock, due)
     except TimeoutError:
         outcome.code = "no-answer"
     except (aiohttp.ClientError, OSError, ValueError, KeyError, TypeError) as exc:
         outcome.code = f"broken-{type(exc).__name__}"
     outcome.total_s = clock.monotonic() - due
-    outcome.is_in_time = outcome.is_whole and outcome.total_s <= plan.deadline_s
+    outcome.is_in_time = outcome.is_complete and outcome.total_s <= plan.deadline_s
     return outcome
 
 
 async def _exchange(outcome, plan, session, clock, due):
     arrival = outcome.arrival
-    method, path, body = _line_and_body(arrival, plan)
+    method, path, body = _request_parts(arrival, plan)
     async with session.request(
         method, arrival.url + path, json=body, headers=_headers(arrival, plan)
     ) as response:
         outcome.status = response.status
         if response.status != 200:
-            await _note_refusal(outcome, response)
+            await _record_rejection(outcome, response)
             return
         outcome.ran = "yes"
-        outcome.is_own = response.headers.get("X-Request-Id") == arrival.id
+        outcome.is_correct = response.headers.get("X-Request-Id") == arrival.id
         if arrival.kind is Kind.STREAM:
             await _read_stream(outcome, response, clock, due)
         else:
-            _judge_answer(outcome, await response.json())
+            _check_response(outcome, await response.json())
 
 
-def _line_and_body(arrival, plan):
+def _request_parts(arrival, plan):
     if arrival.kind is Kind.ORDER:
         return "POST", f"/{plan.service}/reorder", {"order": arrival.id}
     if arrival.kind is Kind.LOOKUP:
@@ -142,7 +144,7 @@
     return headers
 
 
-async def _note_refusal(outcome, response):
+async def _record_rejection(outcome, response):
     problem = await response.json(content_type=None)
     outcome.code = problem["code"]
     outcome.ran = problem["ran"]
@@ -155,10 +157,10 @@
             continue
         event = line[len(b"data: ") :].decode().strip()
         if event == END_EVENT:
-            outcome.is_whole = outcome.tokens == outcome.arrival.output_tokens
+            outcome.is_complete = outcome.tokens == outcome.arrival.output_tokens
             continue
         text = json.loads(event)["choices"][0]["delta"]["content"]
-        outcome.is_own &= text == expected_text(outcome.arrival.id, outcome.tokens)
+        outcome.is_correct &= text == expected_text(outcome.arrival.id, outcome.tokens)
         outcome.tokens += 1
         now = clock.monotonic()
         if last is None:
@@ -168,14 +170,14 @@
         last = now
 
 
-def _judge_answer(outcome, answer):
+def _check_response(outcome, body):
     arrival = outcome.arrival
-    outcome.is_own &= answer["id"] == arrival.id
+    outcome.is_correct &= body["id"] == arrival.id
     if arrival.is_model_work:
-        text = answer["choices"][0]["message"]["content"]
+        text = body["choices"][0]["message"]["content"]
         parts = [expected_text(arrival.id, i) for i in range(arrival.output_tokens)]
-        outcome.is_own &= text == "".join(parts)
+        outcome.is_correct &= text == "".join(parts)
         outcome.tokens = len(text.split())
-        outcome.is_whole = outcome.tokens == arrival.output_tokens
+        outcome.is_complete = outcome.tokens == arrival.output_tokens
     else:
-        outcome.is_whole = True
+        outcome.is_complete = True
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/load/command.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/load/command.py
@@ -1,4 +1,4 @@
-"""The command that puts a load on running entries."""
+"""Command that sends a load to running entries."""
 
 import asyncio
 import json
@@ -15,8 +15,9 @@
 
 __all__ = ["fetch_executions", "load_command", "print_progress"]
 
-# Fields that are arguments of their own, or no flags.
-GIVEN = ("urls", "key_by_organisation")
+# Fields of `LoadPlan` that are not flags: `urls` is an argument of the command, and
+# `key_by_organisation` keeps its default.
+NON_FLAG_FIELDS = ("urls", "key_by_organisation")
 
 
 def load_command(urls, *, records="", json_path="", plot_path="", **fields):
@@ -27,22 +28,25 @@
     urls : str or sequence of str
         URLs of entries, separated by commas.
     records : str or sequence of str
-        URLs of plain services whose `/record` tells what ran; they must be fresh.
+        URLs of plain services whose `/record` lists their executions. The services
+        must not have run anything before the load.
     json_path : str
-        File for the report as JSON.
+        File to which the report is written as JSON; none if empty.
     plot_path : str
-        File for the plot; its ending gives the format.
+        File to which the plot is written, in the format of its extension; none if
+        empty.
     **fields
         Fields of `LoadPlan`.
 
     Returns
     -------
     code : int
-        1 if an answer was foreign or an order's record does not fit, else 0.
+        1 if a response belonged to another request or an order contradicts the
+        services' records, else 0.
     """
-    (fields,) = split_flags(fields, LoadPlan, without=GIVEN)
-    plan = LoadPlan(urls=_listed(urls), **fields)
-    report = asyncio.run(_load(plan, _listed(records)))
+    (fields,) = split_flags(fields, LoadPlan, without=NON_FLAG_FIELDS)
+    plan = LoadPlan(urls=_split_urls(urls), **fields)
+    report = asyncio.run(_run_and_summarise(plan, _split_urls(records)))
     print(report.as_text())
     if json_path:
         with open(json_path, "w", encoding="utf-8") as file:
@@ -59,14 +63,14 @@
     Parameters
     ----------
     session : aiohttp.ClientSession
-        Session to use.
+        HTTP session to use.
     urls : list of str
         Base URLs of the services.
 
     Returns
     -------
     executions : list of dict
-        Of all services, service by service.
+        Executions in the order of `urls`.
     """
     executions = []
     for url in urls:
@@ -76,16 +80,16 @@
 
 
 def print_progress(progress):
-    """Write how far a load is to standard error."""
+    """Write the progress of a load to standard error."""
     line = (
         f"{progress.elapsed_s:5.0f} s  sent {progress.sent}  good {progress.good}  "
-        f"in flight {progress.in_flight}  refused {progress.refused}  "
+        f"in flight {progress.in_flight}  rejected {progress.rejected}  "
         f"failed {progress.failed}"
     )
     print(line, file=sys.stderr, flush=True)
 
 
-async def _load(plan, records):
+async def _run_and_summarise(plan, records):
     outcomes = await run_load(plan, on_progress=print_progress)
     orders = None
     if records:
@@ -95,6 +99,6 @@
     return summarise(outcomes, duration_s=plan.duration_s, orders=orders)
 
 
-def _listed(urls):
+def _split_urls(urls):
     parts = urls.split(",") if isinstance(urls, str) else urls
     return [part.strip().rstrip("/") for part in parts if part.strip()]
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/load/histograms.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/load/histograms.py
@@ -1,43 +1,43 @@
-"""Latency histograms in microseconds, read in seconds."""
+"""Latency histograms: recorded in microseconds, read in seconds."""
 
 from hdrh.histogram import HdrHistogram
 
 __all__ = ["PERCENTILES", "make_histogram", "percentile_s"]
 
 PERCENTILES = (50, 95, 99)
-HIGHEST_US = 600 * 1_000_000
+MAX_LATENCY_US = 600 * 1_000_000
 SIGNIFICANT_DIGITS = 3
 US_PER_S = 1_000_000
 
 
 def make_histogram(values_s):
-    """Return a histogram of times.
+    """Return a histogram of latencies.
 
     Parameters
     ----------
     values_s : iterable of float
-        Times in seconds.
+        Latencies in seconds, at most 600.
 
     Returns
     -------
     histogram : HdrHistogram
-        In microseconds, three significant digits.
+        Latencies in microseconds with three significant digits.
     """
-    histogram = HdrHistogram(1, HIGHEST_US, SIGNIFICANT_DIGITS)
+    histogram = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
     for value in values_s:
         histogram.record_value(max(1, round(value * US_PER_S)))
     return histogram
 
 
 def percentile_s(histogram, percentile):
-    """Return a percentile in seconds; None if the histogram is empty.
+    """Return a percentile in seconds, or None if the histogram is empty.
 
     Parameters
     ----------
     histogram : HdrHistogram
-        From `make_histogram`.
+        Histogram from `make_histogram`.
     percentile : float
-        From 0 to 100.
+        Percentile from 0 to 100.
 
     Examples
     --------
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/load/order_checks.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/load/order_checks.py
@@ -1,4 +1,4 @@
-"""Verdicts on orders, from the services' own records."""
+"""Check of orders against the records of the services."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -10,22 +10,22 @@
 
 @dataclass(slots=True, kw_only=True)
 class OrderCheckResult:
-    """Orders whose executions do not fit what their callers were told.
+    """Orders whose executions contradict the responses to their callers.
 
     Parameters
     ----------
     orders : int
-        Orders that were sent.
+        Number of orders sent.
     executed : int
-        Orders that ran at least once.
+        Number of orders that ran at least once.
     unknown : int
-        Orders whose callers were left without knowing whether they ran.
+        Number of orders whose callers do not know whether they ran.
     lost : list of str
-        Ids answered as done that never ran.
+        Ids of orders that were reported as run and did not run.
     doubled : list of str
-        Ids that ran more than once.
+        Ids of orders that ran more than once.
     ran_though_refused : list of str
-        Ids refused as not run that did run.
+        Ids of orders that were rejected as not run and did run.
     foreign : list of str
         Ids in the records that no caller of this load sent.
     """
@@ -40,43 +40,43 @@
 
     @property
     def is_clean(self):
-        """Whether no order was lost, doubled, run though refused, or foreign."""
-        found = (self.lost, self.doubled, self.ran_though_refused, self.foreign)
-        return not any(found)
+        """Whether no order was lost, run twice, run though rejected, or foreign."""
+        violations = (self.lost, self.doubled, self.ran_though_refused, self.foreign)
+        return not any(violations)
 
 
 def check_orders(outcomes, executions):
-    """Compare what callers were told with what services recorded.
+    """Compare the responses to callers with the executions that services recorded.
 
     Parameters
     ----------
     outcomes : list of Outcome
         Outcomes of a load.
     executions : list of dict
-        Executions of all services, as their `/record` gives them.
+        Executions of all services, as listed by `/record`.
 
     Returns
     -------
-    verdicts : OrderCheckResult
-        Ids are sorted.
+    result : OrderCheckResult
+        Lists of ids are sorted.
 
     Notes
     -----
-    An order answered with 200 ran once, one refused with `ran` = no never ran, and
-    any other ran at most once.
+    An order with status 200 must have run once, an order that was rejected with
+    `ran` = no must not have run, and any other order must have run at most once.
     """
     runs_by_id = Counter(e["id"] for e in executions if e["method"] == "POST")
     by_id = {o.arrival.id: o for o in outcomes if o.arrival.kind is Kind.ORDER}
-    verdicts = OrderCheckResult(orders=len(by_id))
+    result = OrderCheckResult(orders=len(by_id))
     for request_id, outcome in sorted(by_id.items()):
         runs = runs_by_id[request_id]
-        verdicts.executed += runs > 0
-        verdicts.unknown += outcome.ran == "unknown"
+        result.executed += runs > 0
+        result.unknown += outcome.ran == "unknown"
         if runs > 1:
-            verdicts.doubled.append(request_id)
+            result.doubled.append(request_id)
         if runs == 0 and outcome.ran == "yes":
-            verdicts.lost.append(request_id)
+            result.lost.append(request_id)
         if runs and outcome.ran == "no":
-            verdicts.ran_though_refused.append(request_id)
-    verdicts.foreign = sorted(set(runs_by_id) - set(by_id))
-    return verdicts
+            result.ran_though_refused.append(request_id)
+    result.foreign = sorted(set(runs_by_id) - set(by_id))
+    return result
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/load/plan.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/load/plan.py
@@ -1,4 +1,4 @@
-"""What a load consists of."""
+"""Plan of a load."""
 
 from dataclasses import dataclass, field
 
@@ -9,42 +9,45 @@
 
 @dataclass(slots=True, kw_only=True)
 class LoadPlan:
-    """Rate, length and mix of a load.
+    """Rate, duration and mix of a load.
 
     Parameters
     ----------
     urls : list of str
-        Entries that callers connect to; each arrival draws one.
+        URLs of the entries; one is drawn at random for each arrival.
     rate_per_s : float
-        Mean arrivals a second over all entries.
+        Mean arrivals per second over all entries.
     duration_s : float
-        Time during which requests arrive.
+        Time in seconds during which requests arrive.
     seed : int
-        Seed of every draw.
+        Seed of all random draws.
     key_by_organisation : dict of str to str
-        Callers' keys, the largest organisation first.
+        API key of each organisation, the organisation with the most requests
+        first.
     zipf_exponent : float
-        Skew of organisations and of prompt prefixes; 0 draws them evenly.
+        Exponent of the Zipf distribution of organisations and of prompt prefixes;
+        0 makes it uniform.
     order_fraction : float
-        Part of the arrivals that are orders, which are not repeatable.
+        Fraction of the arrivals that are orders, which are not repeatable.
     lookup_fraction : float
-        Part that are lookups of the same service, which are repeatable.
+        Fraction of the arrivals that are lookups of the same service, which are
+        repeatable.
     keyed_fraction : float
-        Part of the orders that carry an idempotency key.
+        Fraction of the orders that carry an idempotency key.
     stream_fraction : float
-        Part of the completions that are streamed.
+        Fraction of the completions that are streamed.
     prefixes : int
-        Different heads of prompts.
+        Number of different prompt prefixes.
     prompt_bytes : int
-        Mean size of a prompt.
+        Mean size of a prompt in bytes.
     output_tokens : int
-        Mean tokens of an answer.
+        Mean number of tokens that a completion requests.
     deadline_s : float
-        Time that a caller allows for the whole answer.
+        Time in seconds within which a caller expects the complete response.
     model : str
-        Application of the completions.
+        Application that the completions are sent to.
     service : str
-        Application of orders and lookups.
+        Application that orders and lookups are sent to.
     """
 
     urls: list
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/load/report.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/load/report.py
@@ -1,4 +1,4 @@
-"""The report of a load: counts, histograms, text and JSON."""
+"""Report of a load: counts and latency histograms, as text and as JSON."""
 
 from collections import Counter
 from dataclasses import asdict, dataclass, field
@@ -20,21 +20,23 @@
     Parameters
     ----------
     duration_s : float
-        Time during which requests arrived.
+        Time in seconds during which requests arrived.
     sent, whole, good, foreign : int
-        Requests sent; answered whole; answered whole, own and in time; with parts
-        of another request's answer.
+        Numbers of requests that were sent; that received a complete response; whose
+        response was complete, correct and in time; whose response held parts that
+        belong to another request.
     good_tokens : int
-        Tokens of good answers.
+        Number of tokens in good responses.
     count_by_code : dict of str to int
-        Refusals and broken answers by what the caller was told.
+        Number of requests without a good response by error code, or by
+        `foreign`, `late` or `cut-short`.
     histogram_by_name : dict of str to HdrHistogram
-        `first token`, `between tokens` and `total` of whole answers, in
-        microseconds.
+        Latencies `first token`, `between tokens` and `total` of complete responses,
+        in microseconds.
     good_by_organisation : dict of str to tuple of int
-        Good answers and requests sent.
+        Numbers of good responses and of requests sent.
     orders : OrderCheckResult or None
-        Verdicts on orders, if records were at hand.
+        Result of the check of orders; None if there were no records.
     """
 
     duration_s: float
@@ -50,23 +52,23 @@
 
     @property
     def goodput_per_s(self):
-        """Good answers a second."""
+        """Good responses per second."""
         return self.good / self.duration_s
 
     def percentile_s(self, name, percentile):
-        """Return a percentile of a histogram in seconds; None if it is empty.
+        """Return a percentile of a histogram in seconds, or None if it is empty.
 
         Parameters
         ----------
         name : str
             Name of the histogram.
         percentile : float
-            From 0 to 100.
+            Percentile from 0 to 100.
         """
         return percentile_s(self.histogram_by_name[name], percentile)
 
     def as_dict(self):
-        """Return the report ready for JSON."""
+        """Return the report as a dictionary for JSON."""
         return {
             "duration_s": self.duration_s,
             "sent": self.sent,
@@ -85,16 +87,16 @@
         }
 
     def as_text(self):
-        """Return the report for people."""
+        """Return the report as text."""
         lines = [
             f"requests sent      {self.sent} in {self.duration_s:g} s",
-            f"goodput            {self.goodput_per_s:.1f}/s whole, own and in time "
-            f"({_percent(self.good, self.sent)} of those sent), "
+            f"goodput            {self.goodput_per_s:.1f}/s complete, correct, in time "
+            f"({_percent_text(self.good, self.sent)} of those sent), "
             f"{self.good_tokens / self.duration_s:.0f} tokens/s",
-            f"foreign answers    {self.foreign}",
+            f"foreign responses  {self.foreign}",
         ]
         lines += [self._latency_line(name) for name in self.histogram_by_name]
-        lines.append(f"refused or broken  {_counts(self.count_by_code)}")
+        lines.append(f"rejected or failed {_counts_text(self.count_by_code)}")
         if self.orders:
             lines.append(_orders_line(self.orders))
         return "\n".join(lines)
@@ -102,62 +104,64 @@
     def _latency_line(self, name):
         values = [self.percentile_s(name, p) for p in PERCENTILES]
         shown = ["none" if v is None else f"{1000 * v:.1f} ms" for v in values]
-        marks = "/".join(str(p) for p in PERCENTILES)
-        return f"{name:<18} {' / '.join(shown)} at {marks} %"
+        percentiles = "/".join(str(p) for p in PERCENTILES)
+        return f"{name:<18} {' / '.join(shown)} at {percentiles} %"
 
 
 def summarise(outcomes, *, duration_s, orders=None):
-    """Return the report on outcomes.
+    """Return the report of a load.
 
     Parameters
     ----------
     outcomes : list of Outcome
         Outcomes of a load.
     duration_s : float
-        Time during which requests arrived.
+        Time in seconds during which requests arrived.
     orders : OrderCheckResult, optional
-        Verdicts on orders.
+        Result of the check of orders.
     """
     report = LoadReport(
         duration_s=duration_s,
         sent=len(outcomes),
-        whole=sum(o.is_whole for o in outcomes),
+        whole=sum(o.is_complete for o in outcomes),
         good=sum(o.is_good for o in outcomes),
-        foreign=sum(not o.is_own for o in outcomes),
+        foreign=sum(not o.is_correct for o in outcomes),
         good_tokens=sum(o.tokens for o in outcomes if o.is_good),
-        count_by_code=dict(Counter(_code(o) for o in outcomes if not o.is_good)),
-        good_by_organisation=_by_organisation(outcomes),
+        count_by_code=dict(
+            Counter(_failure_code(o) for o in outcomes if not o.is_good)
+        ),
+        good_by_organisation=_count_by_organisation(outcomes),
         orders=orders,
     )
-    whole = [o for o in outcomes if o.is_whole]
-    streams = [o for o in whole if o.arrival.kind is Kind.STREAM]
+    complete = [o for o in outcomes if o.is_complete]
+    streams = [o for o in complete if o.arrival.kind is Kind.STREAM]
     report.histogram_by_name = {
         "first token": make_histogram(o.first_token_s for o in streams),
         "between tokens": make_histogram(gap for o in streams for gap in o.gaps_s),
-        "total": make_histogram(o.total_s for o in whole),
+        "total": make_histogram(o.total_s for o in complete),
     }
     return report
 
 
-def _code(outcome):
+def _failure_code(outcome):
     if outcome.code:
         return outcome.code
-    if not outcome.is_own:
+    if not outcome.is_correct:
         return "foreign"
-    return "late" if outcome.is_whole else "cut-short"
+    return "late" if outcome.is_complete else "cut-short"
 
 
-def _by_organisation(outcomes):
+def _count_by_organisation(outcomes):
     sent = Counter(o.arrival.organisation for o in outcomes)
     good = Counter(o.arrival.organisation for o in outcomes if o.is_good)
     return {name: (good[name], count) for name, count in sorted(sent.items())}
 
 
-def _percent(part, whole):
-    return f"{100 * part / whole:.1f} %" if whole else "none"
+def _percent_text(part, total):
+    return f"{100 * part / total:.1f} %" if total else "none"
 
 
-def _counts(count_by_code):
+def _counts_text(count_by_code):
     shown = [f"{code} {count}" for code, count in sorted(count_by_code.items())]
     return ", ".join(shown) or "none"
 
@@ -166,6 +170,6 @@
     return (
         f"orders             {orders.orders} sent, {orders.executed} executed, "
         f"{len(orders.lost)} lost, {len(orders.doubled)} doubled, "
-        f"{len(orders.ran_though_refused)} run though refused, "
+        f"{len(orders.ran_though_refused)} run though rejected, "
         f"{orders.unknown} left unknown"
     )
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/load/run.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/load/run.py
@@ -1,4 +1,4 @@
-"""Running a load: requests go out when they are due, whatever the answers do."""
+"""Open-loop run of a load: requests are sent on schedule, whatever the responses."""
 
 import asyncio
 from dataclasses import dataclass
@@ -16,34 +16,34 @@
 
 @dataclass(slots=True, kw_only=True)
 class Progress:
-    """How far a running load is.
+    """Progress of a running load.
 
     Parameters
     ----------
     elapsed_s : float
-        Time since its start.
+        Time in seconds since the start.
     sent, good, refused, failed : int
-        Requests sent; answered whole, own and in time; refused with a code;
-        anything else.
+        Numbers of requests that were sent; whose response was complete, correct and
+        in time; that were rejected with an error response; that ended otherwise.
     """
 
     elapsed_s: float = 0.0
     sent: int = 0
     good: int = 0
-    refused: int = 0
+    rejected: int = 0
     failed: int = 0
 
     @property
     def in_flight(self):
-        """Requests without an outcome."""
-        return self.sent - self.good - self.refused - self.failed
+        """Number of requests without an outcome."""
+        return self.sent - self.good - self.rejected - self.failed
 
-    def note(self, outcome):
-        """Count an outcome."""
+    def record(self, outcome):
+        """Add an outcome to the counts."""
         if outcome.is_good:
             self.good += 1
         elif outcome.status > 200:
-            self.refused += 1
+            self.rejected += 1
         else:
             self.failed += 1
 
@@ -54,24 +54,24 @@
     Parameters
     ----------
     plan : LoadPlan
-        What to send.
+        Plan of the load.
     on_progress : callable, optional
-        Called with a `Progress` each second and at the end.
+        Called with a `Progress` every second and at the end.
     clock : Clock, optional
-        Source of time; the system's by default.
+        Source of time; the system clock by default.
     session : aiohttp.ClientSession, optional
-        Session to use; a new one without a limit on connections by default.
+        HTTP session to use; by default a new one without a limit on connections.
 
     Returns
     -------
     outcomes : list of Outcome
-        In order of arrival.
+        Outcomes in order of arrival.
     """
     clock = clock or SystemClock()
     if session is None:
         connector = aiohttp.TCPConnector(limit=0)
-        async with aiohttp.ClientSession(connector=connector) as own:
-            return await _run(plan, on_progress, clock, own)
+        async with aiohttp.ClientSession(connector=connector) as new_session:
+            return await _run(plan, on_progress, clock, new_session)
     return await _run(plan, on_progress, clock, session)
 
 
@@ -80,7 +80,9 @@
     start = clock.monotonic()
     tasks = []
     async with asyncio.TaskGroup() as group:
-        reporter = group.create_task(_report(progress, on_progress, clock, start))
+        reporter = group.create_task(
+            _report_progress(progress, on_progress, clock, start)
+        )
         for arrival in make_arrivals(plan):
             due = start + arrival.at_s
             await clock.sleep(max(0.0, due - clock.monotonic()))
@@ -99,11 +101,11 @@
     outcome = await send_arrival(
         arrival, plan=plan, session=session, clock=clock, due=due
     )
-    progress.note(outcome)
+    progress.record(outcome)
     return outcome
 
 
-async def _report(progress, on_progress, clock, start):
+async def _report_progress(progress, on_progress, clock, start):
     while on_progress:
         await clock.sleep(PROGRESS_INTERVAL_S)
         progress.elapsed_s = clock.monotonic() - start
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/trials/capacity.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/trials/capacity.py
@@ -231,8 +231,8 @@
 
 def _record_outcomes(result, outcomes, duration_s):
     report = summarise(outcomes, duration_s=duration_s)
-    complete = [o for o in outcomes if o.is_whole]
-    result.check("answers were whole and own", all(o.is_own for o in complete))
+    complete = [o for o in outcomes if o.is_complete]
+    result.check("answers were whole and own", all(o.is_correct for o in complete))
     result.check("some answers came", report.good > 0, report.good)
     unanswered = [o for o in outcomes if o.code == "no-answer"]
     result.check(
