--- a/packages/magnoliagrade-standins/magnoliagrade_standins/load/run.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/load/run.py
@@ -22,7 +22,7 @@
     ----------
     elapsed_s : float
         Time in seconds since the start.
-    sent, good, refused, failed : int
+    sent, good, rejected, failed : int
         Numbers of requests that were sent; whose response was complete, correct and
         in time; that were rejected with an error response; that ended otherwise.
     """
