--- a/packages/magnoliagrade-entry/magnoliagrade_entry/configuration_watch.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/configuration_watch.py
@@ -39,7 +39,7 @@
     """Keep this entry's configuration as new as the store's."""
     watch = StoreWatch(node=node)
     while True:
-        if node.duty.is_watcher() or not node.configuration.revision:
+        if node.watcher_election.is_watcher() or not node.configuration.revision:
             WATCHING.set(1)
             await watch.step()
         else:
@@ -154,14 +154,14 @@
 
     def _note_failing(self, error):
         STORE_FAILING.set(1)
-        self._node.duty.set_failing(True)
+        self._node.watcher_election.set_failing(True)
         log_event(_log, "configuration.unreadable", detail=error.detail)
 
     def _note_answer(self):
         STORE_FAILING.set(0)
-        self._node.duty.set_failing(False)
+        self._node.watcher_election.set_failing(False)
 
     def _poll_interval_s(self):
         # The more entries there are, the less each one polls.
-        entries = 1 + self._node.duty.colleague_count()
+        entries = 1 + self._node.watcher_election.colleague_count()
         return POLL_PER_ENTRY_S * max(2, entries) * self._node.rng.uniform(0.5, 1.5)
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/instance.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/instance.py
@@ -16,7 +16,6 @@
     usage_gossip,
 )
 from magnoliagrade_entry.claims import ClaimGuard
-from magnoliagrade_entry.configuration_duty import WatchDuty
 from magnoliagrade_entry.configuration_routes import configuration_routes
 from magnoliagrade_entry.doors import make_caller_handler, make_peer_handler
 from magnoliagrade_entry.handlers import entry_handlers, entry_tasks
@@ -30,6 +29,7 @@
 )
 from magnoliagrade_entry.routing import EndpointDirectory, PeerDirectory, Router
 from magnoliagrade_entry.status import status_routes
+from magnoliagrade_entry.watcher_election import WatcherElection
 
 __all__ = ["EntryInstance"]
 
@@ -54,7 +54,7 @@
         "closes_connections",
         "departures",
         "dispatcher",
-        "duty",
+        "watcher_election",
         "endpoints",
         "forwarded",
         "instance_list",
@@ -104,7 +104,7 @@
         self.outcomes = OutcomeTable()
         self.revocations = RevocationClient(node=self)
         self.link_manager = LinkManager(node=self)
-        self.duty = WatchDuty(node=self)
+        self.watcher_election = WatcherElection(node=self)
 
     async def start(self):
         """Open every listener and start the background tasks."""
@@ -148,7 +148,7 @@
         """Enter the instance on the other side of a link."""
         self.endpoints.on_link_up(link)
         self.peers.on_link_up(link)
-        self.duty.on_link_up(link)
+        self.watcher_election.on_link_up(link)
 
     def on_link_down(self, link):
         """Remove the instance on the other side of a link."""
@@ -160,7 +160,7 @@
         entries = [i for i in self.known.by_name.values() if i.role is Role.ENTRY]
         return self.settings.store_calls_per_s / max(1, len(entries))
 
-    def take_instances(self, instances, *, age_s=0.0):
+    def update_instances(self, instances, *, age_s=0.0):
         """Take a list of instances, unless a newer one is known.
 
         Parameters
@@ -181,5 +181,5 @@
         if self.configuration.in_force.is_data_centre_out(data_centre):
             reasons.append(f"data centre {data_centre!r} is out")
         if not self.configuration.revision:
-            reasons.append(self.duty.reason_without_configuration())
+            reasons.append(self.watcher_election.reason_without_configuration())
         return reasons
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/membership/listing.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/membership/listing.py
@@ -88,7 +88,7 @@
     interval = node.settings.instances_interval_s
     while True:
         try:
-            node.take_instances(await node.instance_list.fetch())
+            node.update_instances(await node.instance_list.fetch())
         except MagnoliagradeError as exc:
             log_event(_log, "instances.unavailable", detail=exc.detail)
             if node.known.age_s > MAX_LIST_AGE_INTERVALS * interval:
@@ -115,7 +115,7 @@
 async def on_instance_rows(node, link, message):
     """Merge a peer's list of instances if it is newer."""
     instances = [_instance(row) for row in message.rows]
-    node.take_instances(instances, age_s=message.age_seconds)
+    node.update_instances(instances, age_s=message.age_seconds)
 
 
 def _row(instance):
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/tests/test_configuration_duty.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/tests/test_watcher_election.py
@@ -1,6 +1,6 @@
 from types import SimpleNamespace
 
-from magnoliagrade_entry.configuration_duty import WatchDuty
+from magnoliagrade_entry.watcher_election import WatcherElection
 
 
 class _Link:
@@ -21,19 +21,23 @@
             identity=SimpleNamespace(instance=name, data_centre="d"),
             links=SimpleNamespace(of_role=lambda role, links=links: links),
         )
-        duty_by_name[name] = WatchDuty(node=node)
+        duty_by_name[name] = WatcherElection(node=node)
     return duty_by_name
 
 
 def _watchers(duty_by_name):
-    return {name for name, duty in duty_by_name.items() if duty.is_watcher()}
+    return {
+        name
+        for name, watcher_election in duty_by_name.items()
+        if watcher_election.is_watcher()
+    }
 
 
 def _fail(duty_by_name, name, is_failing):
     duty_by_name[name].set_failing(is_failing)
-    for other, duty in duty_by_name.items():
+    for other, watcher_election in duty_by_name.items():
         if other != name:
-            duty.note(name, is_watching=not is_failing)
+            watcher_election.record_peer_state(name, is_store_available=not is_failing)
 
 
 def test_two_watch_and_others_take_over_while_the_store_does_not_answer_them():
@@ -58,7 +62,7 @@
 
 def test_entry_on_its_own_watches_and_only_colleagues_hear_of_failures():
     assert _watchers(_duties(["entry-0"])) == {"entry-0"}
-    duty = _duties(["entry-0", "entry-1"])["entry-0"]
-    duty.set_failing(True)
-    near, far = duty._node.links.of_role(None)
+    watcher_election = _duties(["entry-0", "entry-1"])["entry-0"]
+    watcher_election.set_failing(True)
+    near, far = watcher_election._node.links.of_role(None)
     assert [m.is_watching for m in near.sent] == [False] and far.sent == []
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/configuration_duty.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/watcher_election.py
@@ -6,13 +6,13 @@
 
 from magnoliagrade_entry.handlers import entry_handlers
 
-__all__ = ["WatchDuty"]
+__all__ = ["WatcherElection"]
 
 WATCHERS_PER_DATA_CENTRE = 2
 _KEY = "configuration-watch"
 
 
-class WatchDuty:
+class WatcherElection:
     """Decides whether this entry watches the store.
 
     Parameters
@@ -65,9 +65,9 @@
         if self.is_failing and link.hello.role == Role.ENTRY.value:
             link.send(ConfigurationWatch(is_watching=False))
 
-    def note(self, name, *, is_watching):
+    def record_peer_state(self, name, *, is_store_available):
         """Note whether the store answers another entry."""
-        if is_watching:
+        if is_store_available:
             self.failing.discard(name)
         else:
             self.failing.add(name)
@@ -87,4 +87,6 @@
 @entry_handlers.on(ConfigurationWatch)
 async def on_configuration_watch(node, link, message):
     """Note whether the store answers another entry."""
-    node.duty.note(link.peer_instance, is_watching=message.is_watching)
+    node.watcher_election.record_peer_state(
+        link.peer_instance, is_store_available=message.is_watching
+    )
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/slopes/watching.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/slopes/watching.py
@@ -8,8 +8,8 @@
 from magnoliagrade.node import ConfigurationPropagation, ConfigurationState, Tasks
 from magnoliagrade.wire import ConfigurationOffer, ConfigurationPull, ConfigurationWatch
 from magnoliagrade.world import Role
-from magnoliagrade_entry.configuration_duty import WatchDuty
 from magnoliagrade_entry.configuration_watch import watch_configuration
+from magnoliagrade_entry.watcher_election import WatcherElection
 
 from magnoliagrade_standins.platform import MemoryStore
 
@@ -92,7 +92,7 @@
             tasks=Tasks(),
         )
         node.propagation = ConfigurationPropagation(node=node)
-        node.duty = WatchDuty(node=node)
+        node.watcher_election = WatcherElection(node=node)
         return node
 
     def _link_all(self):
@@ -144,7 +144,9 @@
         elif isinstance(message, ConfigurationOffer):
             await self._own.propagation.on_offer(self, message)
         elif isinstance(message, ConfigurationWatch):
-            self._own.duty.note(self.peer_instance, is_watching=message.is_watching)
+            self._own.watcher_election.record_peer_state(
+                self.peer_instance, is_store_available=message.is_watching
+            )
 
 
 def _link(a, b):
