--- a/packages/magnoliagrade-entry/magnoliagrade_entry/configuration_routes.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/configuration_routes.py
@@ -1,4 +1,4 @@
-"""Reading and changing the configuration on an entry's admin listener."""
+"""Admin routes of an entry that read and change the configuration."""
 
 import json
 import secrets
@@ -26,20 +26,20 @@
     Returns
     -------
     routes : list of aiohttp.web.RouteDef
-        `GET /configuration` gives what is in force, `POST /configuration` makes a
-        change by way of this entry, which may reach the store where an operator
-        does not.
+        `GET /configuration` returns the configuration in force. `POST
+        /configuration` makes a change through this entry, for operators who cannot
+        reach the store themselves.
     """
 
     async def read(_request):
-        return web.json_response(_in_force(node))
+        return web.json_response(_configuration_in_force(node))
 
     async def write(request):
         try:
-            fields = await _body(request)
-            accepted = await _change(node, fields)
+            fields = await _read_change(request)
+            accepted = await _apply_change(node, fields)
         except MagnoliagradeError as exc:
-            return _problem(exc)
+            return _problem_response(exc)
         return web.json_response(
             {"revision": accepted.revision, "operation": accepted.operation}
         )
@@ -47,7 +47,7 @@
     return [web.get("/configuration", read), web.post("/configuration", write)]
 
 
-async def _body(request):
+async def _read_change(request):
     try:
         fields = json.loads(await request.read())
         author = fields["author"]
@@ -55,12 +55,14 @@
         expected = fields.get("expected_revision")
         is_superseding = fields.get("is_superseding", False)
         if not isinstance(author, str) or not isinstance(operation, str):
-            raise TypeError("author and operation are texts")
+            raise TypeError("author and operation must be strings")
         if not isinstance(expected, int | None) or not isinstance(is_superseding, bool):
-            raise TypeError("expected_revision is a number, is_superseding a truth")
+            raise TypeError(
+                "expected_revision must be an integer, is_superseding a boolean"
+            )
         change = change_from_fields(fields["change"])
     except (ValueError, KeyError, TypeError, AttributeError) as exc:
-        detail = f"the body is no change: {exc}"
+        detail = f"the request body is not a valid change: {exc}"
         raise MagnoliagradeError(ErrorKind.INVALID_REQUEST, detail) from exc
     return {
         "change": change,
@@ -71,7 +73,7 @@
     }
 
 
-async def _change(node, fields):
+async def _apply_change(node, fields):
     operation = fields["operation"] or secrets.token_hex(8)
     stored = await node.repository.change(
         **{**fields, "operation": operation},
@@ -81,7 +83,7 @@
     return stored.root.change_of(operation)
 
 
-def _in_force(node):
+def _configuration_in_force(node):
     stored = node.configuration.stored
     if stored is None:
         return {"revision": 0, "text": "", "history": []}
@@ -98,7 +100,7 @@
     return {"revision": stored.revision, "text": stored.text, "history": rows}
 
 
-def _problem(error):
+def _problem_response(error):
     body = problem_details(error)
     if isinstance(error, InvalidDocument):
         body["problems"] = [str(p) for p in error.problems]
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/credit_watch.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/credit_watch.py
@@ -1,4 +1,4 @@
-"""Credit and load that agents tell, and the queues that wait for it."""
+"""Handles the credit and load that agents report, and checks the queues."""
 
 from magnoliagrade.wire import CreditGrant, EngineLoad
 
@@ -10,7 +10,7 @@
 
 @entry_handlers.on(CreditGrant)
 async def on_credit_grant(node, link, message):
-    """Use credit that an agent granted."""
+    """Update an endpoint's load and dispatch requests with the granted credit."""
     handle = node.endpoints.by_name.get(link.peer_instance)
     if handle is None or handle.link is not link:
         return
@@ -22,7 +22,7 @@
 
 @entry_handlers.on(EngineLoad)
 async def on_engine_load(node, link, message):
-    """Note an endpoint's load and limit; what it has no room for asks elsewhere."""
+    """Record an endpoint's load and limit; move requests that exceed its capacity."""
     node.endpoints.on_load(link.peer_instance, message)
     handle = node.endpoints.by_name.get(link.peer_instance)
     if handle is not None:
@@ -31,7 +31,7 @@
 
 @entry_tasks.register("queues")
 async def tick_queues(node):
-    """Refuse and move requests whose wait has become too long."""
+    """Reject or move queued requests whose wait exceeds its limit."""
     while True:
         await node.clock.sleep(TICK_INTERVAL_S)
         node.router.tick()
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/doors.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/doors.py
@@ -1,4 +1,4 @@
-"""The HTTP listeners of an entry: for callers and for peer entries."""
+"""HTTP handlers of an entry's listeners for callers and for peer entries."""
 
 import asyncio
 import contextlib
@@ -68,14 +68,16 @@
                     clock=node.clock,
                     budget=node.body_budget,
                 )
-                _describe(span, request)
-                await _serve_to_end(node, request, sink, _serve_admitted(node))
+                _set_span_attributes(span, request)
+                await _serve_to_completion(
+                    node, request, sink, _make_admitted_serve(node)
+                )
             except MagnoliagradeError as exc:
-                return _answer_error(exc, sink, request_id, door="caller")
+                return _respond_error(exc, sink, request_id, listener="caller")
             REQUESTS.labels("caller", "whole").inc()
             return sink.response
 
-    return _counted(node, handle, "caller")
+    return _with_metrics(node, handle, "caller")
 
 
 def make_peer_handler(node):
@@ -111,14 +113,14 @@
                 )
                 request_id = request.id
                 sink.tokens_written = int(headers.get(names.RESUME_TOKENS, "0"))
-                _describe(span, request)
-                await _serve_to_end(node, request, sink, node.dispatcher.serve)
+                _set_span_attributes(span, request)
+                await _serve_to_completion(node, request, sink, node.dispatcher.serve)
             except MagnoliagradeError as exc:
-                return _answer_error(exc, sink, request_id, door="peer")
+                return _respond_error(exc, sink, request_id, listener="peer")
             REQUESTS.labels("peer", "whole").inc()
             return sink.response
 
-    return _counted(node, handle, "peer")
+    return _with_metrics(node, handle, "peer")
 
 
 class _TimedSink(ResponseSink):
@@ -138,8 +140,8 @@
         await super().write(data, **fields)
 
 
-def _counted(node, handle, door):
-    async def counted(http_request):
+def _with_metrics(node, handle, listener):
+    async def handle_with_metrics(http_request):
         started = node.clock.monotonic()
         node.requests_in_flight += 1
         try:
@@ -148,26 +150,26 @@
                 response.force_close()
             return response
         except (ConnectionError, asyncio.CancelledError):
-            REQUESTS.labels(door, "caller-gone").inc()
+            REQUESTS.labels(listener, "caller-gone").inc()
             raise
         except Exception:
-            REQUESTS.labels(door, ErrorKind.INTERNAL.value).inc()
+            REQUESTS.labels(listener, ErrorKind.INTERNAL.value).inc()
             raise
         finally:
             node.requests_in_flight -= 1
-            DURATION.labels(door).observe(node.clock.monotonic() - started)
+            DURATION.labels(listener).observe(node.clock.monotonic() - started)
 
-    return counted
+    return handle_with_metrics
 
 
-async def _serve_to_end(node, request, sink, serve):
-    """Serve a request; only a repeatable one is cancelled when its caller goes."""
+async def _serve_to_completion(node, request, sink, serve):
+    """Serve a request; a caller that disconnects cancels only a repeatable one."""
     if request.repeatable:
         await serve(request, sink)
         return
     sink.ignores_disconnect = True
 
-    work = _error_of(node, _serve_recorded(node, request, sink, serve))
+    work = _error_or_none(node, _serve_recorded(node, request, sink, serve))
     task = node.tasks.start(work, name=f"order {request.id}")
     error = await asyncio.shield(task)
     if error is not None:
@@ -185,7 +187,7 @@
     await node.outcomes.follow(request.forwarded_attempt, sink, follow)
 
 
-async def _error_of(node, work):
+async def _error_or_none(node, work):
     node.requests_in_flight += 1
     try:
         await work
@@ -196,7 +198,7 @@
     return None
 
 
-def _serve_admitted(node):
+def _make_admitted_serve(node):
     async def serve(request, sink):
         try:
             await node.admission.admit(request)
@@ -211,25 +213,25 @@
 
 
 @contextlib.contextmanager
-def _server_span(door, http_request):
+def _server_span(listener, http_request):
     context = extract_context(http_request.headers)
     with _tracer.start_as_current_span(
-        f"entry.{door}", context=context, kind=trace.SpanKind.SERVER
+        f"entry.{listener}", context=context, kind=trace.SpanKind.SERVER
     ) as span:
         yield span
 
 
-def _describe(span, request):
+def _set_span_attributes(span, request):
     if span.is_recording():
         span.set_attribute("magnoliagrade.request_id", request.id)
         span.set_attribute("magnoliagrade.organisation", request.organisation)
         span.set_attribute("magnoliagrade.application", request.application)
 
 
-def _answer_error(error, sink, request_id, *, door):
-    REQUESTS.labels(door, error.kind.value).inc()
-    log_rejection(_log, error, request_id=request_id, door=door)
+def _respond_error(error, sink, request_id, *, listener):
+    REQUESTS.labels(listener, error.kind.value).inc()
+    log_rejection(_log, error, request_id=request_id, door=listener)
     if sink.has_started:
         sink.abort()
         return sink.response
-    return error_response(error, request_id=request_id, is_internal=door == "peer")
+    return error_response(error, request_id=request_id, is_internal=listener == "peer")
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/group_watch.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/group_watch.py
@@ -1,4 +1,4 @@
-"""What agents tell of their groups: a group takes work as a whole or not at all."""
+"""Tracks whether groups are complete; only a complete group gets requests."""
 
 import logging
 
@@ -7,35 +7,35 @@
 
 from magnoliagrade_entry.handlers import entry_handlers
 
-__all__ = ["note_group_state"]
+__all__ = ["record_group_state"]
 
 _log = logging.getLogger(__name__)
 
 
 @entry_handlers.on(GroupState)
 async def on_group_state(node, link, message):
-    """Note whether the group behind an agent is complete."""
+    """Record whether the group of an agent's endpoint is complete."""
     handle = node.endpoints.by_name.get(link.peer_instance)
     if handle is not None and handle.link is link:
-        note_group_state(node.endpoints.by_name.values(), handle.endpoint, message)
+        record_group_state(node.endpoints.by_name.values(), handle.endpoint, message)
 
 
-def note_group_state(handles, endpoint, message):
-    """Note an agent's word and settle whether its group may take requests.
+def record_group_state(handles, endpoint, message):
+    """Record an agent's report and update whether its group is eligible.
 
     Parameters
     ----------
     handles : iterable of EndpointHandle
         All endpoints of this data centre.
     endpoint : Endpoint
-        The endpoint whose agent spoke.
+        The endpoint whose agent sent the report.
     message : GroupState
-        What it said.
+        The report.
 
     Notes
     -----
-    Ranks run in lock-step, so a request on one rank needs all of them: as soon as
-    one agent says that its generation is not complete, or names another one than
+    Ranks run in lock-step, so a request on one rank needs all of them. If one agent
+    reports that its generation is not complete, or reports another generation than
     the others, no endpoint of the group is eligible.
     """
     generation = message.generation if message.is_complete else 0
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/handlers.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/handlers.py
@@ -1,4 +1,4 @@
-"""Messages that an entry handles, and its background tasks."""
+"""Tables of an entry's message handlers and background tasks."""
 
 from magnoliagrade.node import HandlerTable, TaskTable, send_heartbeats
 from magnoliagrade.wire import (
@@ -14,4 +14,4 @@
 
 @entry_handlers.on(Heartbeat)
 async def on_heartbeat(node, link, message):
-    """Nothing to do: any message shows that the other side is alive."""
+    """Do nothing; the link records each received message as a sign of life."""
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/instance.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/instance.py
@@ -1,4 +1,4 @@
-"""The entry instance: everything that one entry process holds."""
+"""The entry instance: the state and life cycle of one entry process."""
 
 import logging
 
@@ -44,7 +44,7 @@
     settings : EntrySettings
         Checked settings.
     clock : Clock, optional
-        Source of time; the system's by default.
+        Source of time; the system clock by default.
     """
 
     __slots__ = (
@@ -80,15 +80,15 @@
         self.requests_in_flight = 0
         self.closes_connections = False
         self.body_budget = BodyBudget(limit_bytes=settings.body_memory_bytes)
-        where = {
+        directory_options = {
             "configuration": self.configuration,
             "data_centre": settings.data_centre,
         }
         self.departures = Departures()
         self.known = KnownInstances(clock=self.clock)
-        where["departures"] = self.departures
-        self.endpoints = EndpointDirectory(clock=self.clock, **where)
-        self.peers = PeerDirectory(**where)
+        directory_options["departures"] = self.departures
+        self.endpoints = EndpointDirectory(clock=self.clock, **directory_options)
+        self.peers = PeerDirectory(**directory_options)
         self.router = Router(
             configuration=self.configuration,
             endpoints=self.endpoints,
@@ -145,23 +145,23 @@
         log_event(_log, "entry.stopped")
 
     def on_link_up(self, link):
-        """Enter the instance on the other side of a link."""
+        """Add the instance at the other end of a link."""
         self.endpoints.on_link_up(link)
         self.peers.on_link_up(link)
         self.watcher_election.on_link_up(link)
 
     def on_link_down(self, link):
-        """Remove the instance on the other side of a link."""
+        """Remove the instance at the other end of a link."""
         self.endpoints.on_link_down(link)
         self.peers.on_link_down(link)
 
     def store_calls_per_s(self):
-        """Return this entry's part of the calls that all entries may make."""
+        """Return the calls per second that this entry may make to the store."""
         entries = [i for i in self.known.by_name.values() if i.role is Role.ENTRY]
         return self.settings.store_calls_per_s / max(1, len(entries))
 
     def update_instances(self, instances, *, age_s=0.0):
-        """Take a list of instances, unless a newer one is known.
+        """Use a list of instances, unless a newer one is known.
 
         Parameters
         ----------
@@ -175,11 +175,11 @@
             self.link_manager.update()
 
     def reasons_not_ready(self):
-        """Return why this entry should get no requests; empty if ready."""
+        """Return the reasons why this entry is not ready; empty if it is ready."""
         reasons = super().reasons_not_ready()
         data_centre = self.identity.data_centre
         if self.configuration.in_force.is_data_centre_out(data_centre):
-            reasons.append(f"data centre {data_centre!r} is out")
+            reasons.append(f"data centre {data_centre!r} is out of service")
         if not self.configuration.revision:
-            reasons.append(self.watcher_election.reason_without_configuration())
+            reasons.append(self.watcher_election.missing_configuration_reason())
         return reasons
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/settings.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/settings.py
@@ -10,11 +10,11 @@
 
 @dataclass(slots=True, kw_only=True)
 class EntrySettings(NodeSettings):
-    """Settings of an entry instance; each field documents itself."""
+    """Settings of an entry instance; each field's `doc` describes it."""
 
     caller_address: str = setting(
         section="listen",
-        doc="where callers connect",
+        doc="address that callers connect to",
         address=True,
         default="127.0.0.1:0",
         env="MAGNOLIAGRADE_CALLER_ADDRESS",
@@ -33,7 +33,7 @@
     )
     instances_interval_s: float = setting(
         section="platform",
-        doc="time between readings of the list of instances",
+        doc="time between reads of the list of instances",
         unit="s",
         default=2.0,
         low=0.05,
@@ -41,8 +41,8 @@
     )
     store_calls_per_s: float = setting(
         section="platform",
-        doc="calls to the store that all entries together may make; each takes an "
-        "equal part",
+        doc="calls to the store that all entries together may make; each entry "
+        "gets an equal share",
         unit="1/s",
         default=500.0,
         low=1,
@@ -74,7 +74,7 @@
     )
     body_memory_bytes: int = setting(
         section="requests",
-        doc="memory that the bodies of all requests in the entry may take together",
+        doc="memory limit for the bodies of all requests in the entry together",
         unit="bytes",
         default=256 * 1024 * 1024,
         low=1024,
@@ -90,8 +90,8 @@
     )
     idle_timeout_s: float = setting(
         section="requests",
-        doc="longest time that a connection is kept without a request; longer than "
-        "that of the platform's balancer",
+        doc="longest time that a connection is kept open without a request; longer "
+        "than the idle time-out of the platform's load balancer",
         unit="s",
         default=600.0,
         low=0.1,
@@ -99,14 +99,14 @@
     )
     claims_keeper: str = setting(
         section="claims",
-        doc="how claims on idempotency keys are written: many of a shard at once, "
-        "or each by itself",
+        doc="how claims on idempotency keys are written: in batches for each shard, "
+        "or each in its own write",
         choices=("batched", "single"),
         default="batched",
     )
     claims_lifetime_s: float = setting(
         section="claims",
-        doc="how long a claim on an idempotency key holds at least",
+        doc="shortest time that a claim on an idempotency key is kept",
         unit="s",
         default=86400.0,
         low=60,
@@ -114,16 +114,16 @@
     )
     claims_shards: int = setting(
         section="claims",
-        doc="values of the store that batched claims are spread over; the same on "
-        "every entry",
+        doc="number of store values that batched claims are distributed over; must "
+        "be the same on every entry",
         default=64,
         low=1,
         high=4096,
     )
     drain_lag_s: float = setting(
         section="shutdown",
-        doc="how long new requests are still served after SIGTERM, while the "
-        "platform's balancer lags",
+        doc="how long new requests are still served after SIGTERM, to cover the "
+        "delay of the platform's load balancer",
         unit="s",
         default=1.0,
         low=0,
@@ -131,8 +131,9 @@
     )
 
     def combinations(self):
-        """Return texts for settings that cannot go together."""
-        # A dataclass with slots is made twice, so `super()` would miss it.
+        """Return a description of each invalid combination of settings."""
+        # `dataclass(slots=True)` creates a second class, so `super()` without arguments
+        # refers to the wrong one.
         problems = NodeSettings.combinations(self)
         if self.body_memory_bytes < self.body_limit_bytes:
             problems.append(
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/status.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/status.py
@@ -1,4 +1,4 @@
-"""The status that an entry shows on its admin listener."""
+"""Status of an entry on its admin listener."""
 
 from aiohttp import web
 
@@ -6,7 +6,7 @@
 
 
 def status_routes(node):
-    """Return the admin routes that show an entry's status.
+    """Return the admin route for an entry's status.
 
     Parameters
     ----------
@@ -21,7 +21,7 @@
 
 
 def entry_status(node):
-    """Return what an entry knows, ready for JSON.
+    """Return an entry's status as values that JSON can represent.
 
     Parameters
     ----------
@@ -43,7 +43,7 @@
         "requests_in_flight": node.requests_in_flight,
         "links": sorted(node.links.by_instance),
         "endpoints": [
-            _endpoint_row(c) for _, c in sorted(node.endpoints.by_name.items())
+            _endpoint_row(h) for _, h in sorted(node.endpoints.by_name.items())
         ],
         "peers": [_peer_row(p) for _, p in sorted(node.peers.by_name.items())],
     }
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/tests/test_watcher_election.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/tests/test_watcher_election.py
@@ -13,56 +13,54 @@
         self.sent.append(message)
 
 
-def _duties(names):
-    duty_by_name = {}
+def _make_elections(names):
+    election_by_name = {}
     for name in names:
-        links = [_Link(n) for n in names if n != name] + [_Link("far", "other")]
+        links = [_Link(n) for n in names if n != name] + [_Link("remote", "other")]
         node = SimpleNamespace(
             identity=SimpleNamespace(instance=name, data_centre="d"),
             links=SimpleNamespace(of_role=lambda role, links=links: links),
         )
-        duty_by_name[name] = WatcherElection(node=node)
-    return duty_by_name
+        election_by_name[name] = WatcherElection(node=node)
+    return election_by_name
 
 
-def _watchers(duty_by_name):
+def _watchers(election_by_name):
     return {
-        name
-        for name, watcher_election in duty_by_name.items()
-        if watcher_election.is_watcher()
+        name for name, election in election_by_name.items() if election.is_watcher()
     }
 
 
-def _fail(duty_by_name, name, is_failing):
-    duty_by_name[name].set_failing(is_failing)
-    for other, watcher_election in duty_by_name.items():
+def _set_store_failing(election_by_name, name, is_failing):
+    election_by_name[name].set_store_failing(is_failing)
+    for other, election in election_by_name.items():
         if other != name:
-            watcher_election.record_peer_state(name, is_store_available=not is_failing)
+            election.record_peer_state(name, is_store_available=not is_failing)
 
 
-def test_two_watch_and_others_take_over_while_the_store_does_not_answer_them():
-    duty_by_name = _duties([f"entry-{i}" for i in range(7)])
-    first = _watchers(duty_by_name)
+def test_two_entries_watch_and_two_others_take_over_while_the_store_fails_for_them():
+    election_by_name = _make_elections([f"entry-{i}" for i in range(7)])
+    first = _watchers(election_by_name)
     assert len(first) == 2
     for name in first:
-        _fail(duty_by_name, name, True)
-    assert first < _watchers(duty_by_name) and len(_watchers(duty_by_name)) == 4
+        _set_store_failing(election_by_name, name, True)
+    assert first < _watchers(election_by_name) and len(_watchers(election_by_name)) == 4
     for name in first:
-        _fail(duty_by_name, name, False)
-    assert _watchers(duty_by_name) == first
+        _set_store_failing(election_by_name, name, False)
+    assert _watchers(election_by_name) == first
 
 
-def test_store_that_answers_nobody_is_probed_by_two():
-    duty_by_name = _duties([f"entry-{i}" for i in range(7)])
-    first = _watchers(duty_by_name)
-    for name in duty_by_name:
-        _fail(duty_by_name, name, True)
-    assert _watchers(duty_by_name) == first
+def test_two_entries_probe_a_store_that_fails_for_all_entries():
+    election_by_name = _make_elections([f"entry-{i}" for i in range(7)])
+    first = _watchers(election_by_name)
+    for name in election_by_name:
+        _set_store_failing(election_by_name, name, True)
+    assert _watchers(election_by_name) == first
 
 
-def test_entry_on_its_own_watches_and_only_colleagues_hear_of_failures():
-    assert _watchers(_duties(["entry-0"])) == {"entry-0"}
-    watcher_election = _duties(["entry-0", "entry-1"])["entry-0"]
-    watcher_election.set_failing(True)
-    near, far = watcher_election._node.links.of_role(None)
-    assert [m.is_watching for m in near.sent] == [False] and far.sent == []
+def test_single_entry_watches_and_only_local_peers_are_notified_of_failures():
+    assert _watchers(_make_elections(["entry-0"])) == {"entry-0"}
+    election = _make_elections(["entry-0", "entry-1"])["entry-0"]
+    election.set_store_failing(True)
+    local, remote = election._node.links.of_role(None)
+    assert [m.is_watching for m in local.sent] == [False] and remote.sent == []
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/watcher_election.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/watcher_election.py
@@ -1,4 +1,4 @@
-"""Which entries of a data centre watch the store for all of them."""
+"""Election of the entries that watch the store for their data centre."""
 
 from magnoliagrade.algorithms import rendezvous_order
 from magnoliagrade.wire import ConfigurationWatch
@@ -8,8 +8,9 @@
 
 __all__ = ["WatcherElection"]
 
+# Number of entries of a data centre that watch the store at the same time.
 WATCHERS_PER_DATA_CENTRE = 2
-_KEY = "configuration-watch"
+_RENDEZVOUS_KEY = "configuration-watch"
 
 
 class WatcherElection:
@@ -22,63 +23,64 @@
 
     Notes
     -----
-    The first entries in rendezvous order among those that the store answers
-    watch it; so do the first ones among all, which probe a store that is down. An
-    entry without links to the others of its data centre watches on its own.
+    The first `WATCHERS_PER_DATA_CENTRE` entries in rendezvous order among those that
+    get responses from the store watch it. The first ones among all entries watch as
+    well, so that a store that is unavailable is probed. An entry without links to
+    other entries of its data centre is the only candidate and watches the store.
     """
 
-    __slots__ = ("_node", "failing", "is_failing")
+    __slots__ = ("_node", "failing_peers", "is_store_failing")
 
     def __init__(self, *, node):
         self._node = node
-        self.failing = set()
-        self.is_failing = False
+        self.failing_peers = set()
+        self.is_store_failing = False
 
     def is_watcher(self):
         """Return whether this entry should watch the store now."""
         own = self._node.identity.instance
-        links = self._colleagues()
+        links = self._local_peers()
         names = {own, *(k.peer_instance for k in links)}
-        failing = self.failing & names
-        if self.is_failing:
+        failing = self.failing_peers & names
+        if self.is_store_failing:
             failing.add(own)
-        ordered = rendezvous_order(_KEY, names)
-        answered = [n for n in ordered if n not in failing]
+        ordered = rendezvous_order(_RENDEZVOUS_KEY, names)
+        healthy = [n for n in ordered if n not in failing]
         count = WATCHERS_PER_DATA_CENTRE
-        return own in answered[:count] or own in ordered[:count]
+        return own in healthy[:count] or own in ordered[:count]
 
-    def colleague_count(self):
-        """Return the number of entries of this data centre that are linked."""
-        return len(self._colleagues())
+    def local_peer_count(self):
+        """Return the number of linked entries in this data centre."""
+        return len(self._local_peers())
 
-    def set_failing(self, is_failing):
-        """Note whether the store answers and tell the others when that changes."""
-        if is_failing == self.is_failing:
+    def set_store_failing(self, is_failing):
+        """Set whether the store fails here; notify local peers when that changes."""
+        if is_failing == self.is_store_failing:
             return
-        self.is_failing = is_failing
-        for link in self._colleagues():
+        self.is_store_failing = is_failing
+        for link in self._local_peers():
             link.send(ConfigurationWatch(is_watching=not is_failing))
 
     def on_link_up(self, link):
-        """Tell a newly linked entry if the store does not answer here."""
-        self.failing.discard(link.peer_instance)
-        if self.is_failing and link.hello.role == Role.ENTRY.value:
+        """Notify a newly linked entry if the store does not respond here."""
+        self.failing_peers.discard(link.peer_instance)
+        if self.is_store_failing and link.hello.role == Role.ENTRY.value:
             link.send(ConfigurationWatch(is_watching=False))
 
     def record_peer_state(self, name, *, is_store_available):
-        """Note whether the store answers another entry."""
+        """Record whether another entry gets responses from the store."""
         if is_store_available:
-            self.failing.discard(name)
+            self.failing_peers.discard(name)
         else:
-            self.failing.add(name)
+            self.failing_peers.add(name)
 
-    def reason_without_configuration(self):
-        """Return why no configuration is known."""
+    def missing_configuration_reason(self):
+        """Return a text that says why this entry has no configuration."""
         peers = len(self._node.links.of_role(Role.ENTRY))
-        store = "does not answer" if self.is_failing else "has given none yet"
+        store = "does not respond" if self.is_store_failing else "has returned none yet"
         return f"no configuration is known: the store {store}, {peers} peers are linked"
 
-    def _colleagues(self):
+    def _local_peers(self):
         data_centre = self._node.identity.data_centre
         links = self._node.links.of_role(Role.ENTRY)
         return [k for k in links if k.hello.data_centre == data_centre]
@@ -86,7 +88,7 @@
 
 @entry_handlers.on(ConfigurationWatch)
 async def on_configuration_watch(node, link, message):
-    """Note whether the store answers another entry."""
+    """Record whether another entry gets responses from the store."""
     node.watcher_election.record_peer_state(
         link.peer_instance, is_store_available=message.is_watching
     )
--- a/tests/test_configuration_spread.py
+++ b/tests/test_configuration_spread.py
@@ -104,7 +104,7 @@
     await newcomer.kill()
     await site.start_listed(newcomer, "entry")
     reasons = []
-    while not any("the store does not answer" in r for r in reasons):
+    while not any("the store does not respond" in r for r in reasons):
         reasons = await _not_ready(site, "kelowna-entry-1")
         await asyncio.sleep(0.05)
     assert "0 peers are linked" in reasons[0]
