--- a/packages/magnoliagrade-entry/magnoliagrade_entry/cli.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/cli.py
@@ -1,4 +1,4 @@
-"""The binary `magnoliagrade`: the entry and the operators' commands."""
+"""Command line `magnoliagrade`: runs an entry, and has the operators' commands."""
 
 import getpass
 import os
@@ -23,23 +23,23 @@
     instances : str
         URL of the platform's list of instances; also MAGNOLIAGRADE_INSTANCES_URL.
     entry : str
-        Admin URL of an entry that makes changes; also MAGNOLIAGRADE_ENTRY_URL.
+        Admin URL of an entry to make changes through; also MAGNOLIAGRADE_ENTRY_URL.
     settings : str
-        Settings file of an entry to take addresses from.
+        Settings file of an entry to read addresses from.
     author : str
-        Who makes changes; also MAGNOLIAGRADE_AUTHOR, the user by default.
+        Author of changes; also MAGNOLIAGRADE_AUTHOR, the system user by default.
     json : bool
         Print JSON.
     wait : bool
         After a change, wait until all instances have it in force.
     timeout_s : float
-        Longest such wait in seconds.
+        Time-out of this wait, in seconds.
     operation : str
-        Id of a change, to repeat it safely or to look it up in the history.
+        Id of a change, to repeat the change safely or to look it up in the history.
     unchecked : bool
-        Change the store also when no instance can be asked.
+        Change the store even if no instance reports its configuration.
     supersede : bool
-        Change a store that is behind the instances, above their revision.
+        Change a store that is behind the instances, with a revision above theirs.
     """
 
     def __init__(
@@ -57,18 +57,20 @@
         unchecked=False,
         supersede=False,
     ):
-        self._addresses = commands.SiteAddresses.find(
+        self._addresses = commands.SiteAddresses.resolve(
             store=store, instances=instances, entry=entry, settings=settings
         )
         self._is_json = json
         self._operation = str(operation)
         self._options = ChangeOptions(
-            author=str(author) or os.environ.get("MAGNOLIAGRADE_AUTHOR") or _user(),
+            author=str(author)
+            or os.environ.get("MAGNOLIAGRADE_AUTHOR")
+            or _system_user(),
             operation=self._operation,
             is_waiting=wait,
             timeout_s=timeout_s,
             is_json=json,
-            is_unchecked=unchecked,
+            allows_unknown_revision=unchecked,
             is_superseding=supersede,
         )
 
@@ -114,17 +116,17 @@
         check_settings(EntrySettings, file)
 
     def apply(self, file):
-        """Replace the configuration by a file's."""
+        """Replace the configuration with the content of a file."""
         commands.run_command(commands.apply_file(self._addresses, file, self._options))
 
     def diff(self, file):
-        """Show what applying a file would change."""
+        """Show the changes that applying a file would make."""
         commands.run_command(
             commands.show_difference(self._addresses, file, is_json=self._is_json)
         )
 
     def label(self, kind, name, *labels):
-        """Set (key=value) and remove (key-) labels of an object.
+        """Set (key=value) or remove (key-) labels of an object.
 
         Parameters
         ----------
@@ -140,18 +142,18 @@
                 self._addresses,
                 str(kind),
                 str(name),
-                [str(word) for word in labels],
+                [str(label) for label in labels],
                 self._options,
             )
         )
 
     def drain(self, name, kind="endpoint"):
-        """Give an endpoint, or a data centre, no new work."""
+        """Stop sending new work to an endpoint or a data centre."""
         state = "out" if kind.replace("-", "_") == "data_centre" else "draining"
         self.label(kind, name, f"state={state}")
 
     def admit(self, name, kind="endpoint"):
-        """Give an endpoint, or a data centre, work again."""
+        """Send work to a drained endpoint or data centre again."""
         self.label(kind, name, "state-")
 
     def show(self):
@@ -161,7 +163,7 @@
         )
 
     def history(self):
-        """Show accepted changes, or with --operation whether one was accepted."""
+        """Show accepted changes; with --operation, whether that change was accepted."""
         commands.run_command(
             commands.show_history(
                 self._addresses, operation=self._operation, is_json=self._is_json
@@ -169,13 +171,13 @@
         )
 
     def status(self):
-        """Show every instance: revision in force and its age, ready, leaving."""
+        """Show each instance: revision in force, its age, readiness and leaving."""
         commands.run_command(
             commands.show_status(self._addresses, is_json=self._is_json)
         )
 
 
-def _user():
+def _system_user():
     try:
         return getpass.getuser()
     except (KeyError, OSError):
@@ -183,5 +185,5 @@
 
 
 def main():
-    """Run the command line."""
+    """Run the command line `magnoliagrade`."""
     run_command_line(Commands, name="magnoliagrade")
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/commands/exits.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/commands/exits.py
@@ -35,17 +35,17 @@
 
 
 def run_command(coroutine):
-    """Run a command and leave the process with its exit code.
+    """Run a command and exit the process with the command's exit code.
 
     Parameters
     ----------
     coroutine : coroutine
-        Returns an `Exit`; errors are printed and turned into one.
+        Returns an `Exit`. Errors that it raises are printed and mapped to one.
     """
-    sys.exit(uvloop.run(_settle(coroutine)))
+    sys.exit(uvloop.run(_exit_code_of(coroutine)))
 
 
-async def _settle(coroutine):
+async def _exit_code_of(coroutine):
     try:
         return int(await coroutine)
     except InvalidDocument as exc:
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/commands/exchange.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/commands/instance_client.py
@@ -1,4 +1,4 @@
-"""Asking instances over links of their own protocol."""
+"""Client that queries instances over their control protocol."""
 
 import asyncio
 import contextlib
@@ -19,24 +19,25 @@
 )
 from magnoliagrade.world import Role
 
-__all__ = ["InstanceExchange", "InstanceRow"]
+__all__ = ["InstanceClient", "InstanceRow"]
 
-ANSWER_TIMEOUT_S = 3.0
-PARALLEL_LINKS = 64
-ASKED_PER_DATA_CENTRE = 4
+REPLY_TIMEOUT_S = 3.0
+MAX_PARALLEL_LINKS = 64
+# Size of the random sample of entries that is queried in each data centre.
+ENTRIES_SAMPLED_PER_DATA_CENTRE = 4
 OPERATOR_ROLE = "operator"
 
 
 @dataclass(slots=True, kw_only=True)
 class InstanceRow:
-    """A listed instance and what it said.
+    """A listed instance and the status that it reported.
 
     Parameters
     ----------
     instance : Instance
-        Row of the platform's list.
+        The instance, from the platform's list.
     report : StatusReport or None
-        Its answer; None if it did not answer.
+        Reported status; None if the instance did not reply.
     """
 
     instance: object
@@ -44,12 +45,12 @@
 
     @property
     def revision(self):
-        """Revision in force there; 0 if unknown."""
+        """Revision in force on the instance; 0 if unknown."""
         return self.report.revision if self.report is not None else 0
 
 
-class InstanceExchange:
-    """Asks instances one question at a time over short links."""
+class InstanceClient:
+    """Queries instances; opens a link for each query and closes it afterwards."""
 
     __slots__ = ("_identity", "_slots")
 
@@ -59,15 +60,15 @@
             incarnation=new_incarnation(),
             data_centre="",
         )
-        self._slots = asyncio.Semaphore(PARALLEL_LINKS)
+        self._slots = asyncio.Semaphore(MAX_PARALLEL_LINKS)
 
     async def statuses(self, instances):
-        """Return a row for each instance, in order.
+        """Query instances and return a row for each of them, in order.
 
         Parameters
         ----------
         instances : list of Instance
-            Whom to ask.
+            Instances to query.
         """
         reports = await asyncio.gather(*(self._status(i) for i in instances))
         return [
@@ -75,40 +76,40 @@
             for instance, report in zip(instances, reports, strict=True)
         ]
 
-    async def entries(self, instances):
-        """Return rows of some entries of each data centre."""
+    async def sample_entries(self, instances):
+        """Query a random sample of entries in each data centre; return their rows."""
         entries_by_data_centre = {}
         for instance in instances:
             if instance.role is Role.ENTRY:
-                place = entries_by_data_centre.setdefault(instance.data_centre, [])
-                place.append(instance)
-        asked = []
+                entries = entries_by_data_centre.setdefault(instance.data_centre, [])
+                entries.append(instance)
+        sampled = []
         for entries in entries_by_data_centre.values():
-            count = min(ASKED_PER_DATA_CENTRE, len(entries))
-            asked.extend(random.sample(entries, count))
-        return await self.statuses(asked)
+            count = min(ENTRIES_SAMPLED_PER_DATA_CENTRE, len(entries))
+            sampled.extend(random.sample(entries, count))
+        return await self.statuses(sampled)
 
-    async def newest(self, instances):
-        """Return the newest configuration that an entry has in force, or None."""
-        rows = await self.entries(instances)
+    async def newest_configuration(self, instances):
+        """Return the newest configuration in force on the sampled entries, or None."""
+        rows = await self.sample_entries(instances)
         rows = [row for row in rows if row.revision]
         if not rows:
             return None
         newest = max(rows, key=lambda row: row.revision)
-        return await self._ask(newest.instance, _pull_configuration)
+        return await self._query(newest.instance, _pull_configuration)
 
     async def _status(self, instance):
-        return await self._ask(instance, _pull_status)
+        return await self._query(instance, _pull_status)
 
-    async def _ask(self, instance, question):
+    async def _query(self, instance, exchange):
         failures = (OSError, TimeoutError, MagnoliagradeError)
         async with self._slots:
             with contextlib.suppress(*failures):
-                async with asyncio.timeout(ANSWER_TIMEOUT_S):
-                    return await self._converse(instance, question)
+                async with asyncio.timeout(REPLY_TIMEOUT_S):
+                    return await self._query_over_link(instance, exchange)
         return None
 
-    async def _converse(self, instance, question):
+    async def _query_over_link(self, instance, exchange):
         host, _, port = instance.control_address.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         link = Link(
@@ -120,7 +121,7 @@
         )
         try:
             link.send(Hello(role=OPERATOR_ROLE))
-            return await question(link)
+            return await exchange(link)
         finally:
             link.close()
 
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/commands/output.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/commands/output.py
@@ -1,23 +1,23 @@
-"""Tables for people and JSON for scripts."""
+"""Output of commands: tables for people, JSON for scripts."""
 
 import json
 
 __all__ = ["print_rows"]
 
 
-def print_rows(rows, columns, *, is_json, more=None):
+def print_rows(rows, columns, *, is_json, extra=None):
     """Print rows as a table, or as JSON.
 
     Parameters
     ----------
     rows : list of dict
-        Values by name of column.
+        Value by column name.
     columns : sequence of str
-        Columns in order.
+        Column names, in order.
     is_json : bool
         Whether to print JSON.
-    more : dict, optional
-        Further values, printed as JSON beside the rows only.
+    extra : dict, optional
+        Values beside the rows; printed in JSON only.
 
     Examples
     --------
@@ -26,17 +26,17 @@
     1  x
     """
     if is_json:
-        print(json.dumps({**(more or {}), "rows": rows}))
+        print(json.dumps({**(extra or {}), "rows": rows}))
         return
     table = [[c.upper().replace("_", " ") for c in columns]]
-    table += [[_text(row.get(c)) for c in columns] for row in rows]
+    table += [[_cell_text(row.get(c)) for c in columns] for row in rows]
     widths = [max(len(line[i]) for line in table) for i in range(len(columns))]
     for line in table:
         cells = (t.ljust(w) for t, w in zip(line, widths, strict=True))
         print("  ".join(cells).rstrip())
 
 
-def _text(value):
+def _cell_text(value):
     if value is None:
         return "-"
     if isinstance(value, bool):
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/commands/reading.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/commands/reading.py
@@ -1,4 +1,4 @@
-"""Commands that read: show, history, status and check."""
+"""Commands that read the configuration: show, history, status and check."""
 
 import dataclasses
 import sys
@@ -29,7 +29,7 @@
     Raises
     ------
     InvalidDocument
-        If it cannot be read as UTF-8.
+        If the file cannot be read as UTF-8.
     """
     try:
         with open(file, encoding="utf-8") as stream:
@@ -40,48 +40,48 @@
 
 
 async def check_configuration(file):
-    """Check a configuration file and say so."""
+    """Check a configuration file and print the result."""
     configuration = parse_configuration(read_text(file), file=file)
     print(f"{file}: ok, {len(configuration.organisation_by_name)} organisations")
     return Exit.DONE
 
 
 async def show_configuration(addresses, *, is_json):
-    """Print the newest configuration that is in force."""
+    """Print the newest configuration in force."""
     async with open_site(addresses) as site:
-        stored = await site.in_force()
+        stored = await site.newest_configuration()
         if stored is None:
-            print("there is no configuration yet", file=sys.stderr)
+            print("no configuration has been applied yet", file=sys.stderr)
             return Exit.FAILED
         if is_json:
-            more = {"revision": stored.revision, "text": stored.text}
-            print_rows([], [], is_json=True, more=more)
+            extra = {"revision": stored.revision, "text": stored.text}
+            print_rows([], [], is_json=True, extra=extra)
             return Exit.DONE
-        made = stored.root.newest
-        print(f"# revision {made.revision} by {made.author} at {made.time}")
+        change = stored.root.newest
+        print(f"# revision {change.revision} by {change.author} at {change.time}")
         print(stored.text, end="")
     return Exit.DONE
 
 
 async def show_history(addresses, *, operation, is_json):
-    """Print accepted changes, newest first; or tell whether one was accepted.
+    """Print accepted changes, newest first, or only the one of an operation.
 
     Parameters
     ----------
     addresses : SiteAddresses
-        Where to read.
+        Addresses of store and instances.
     operation : str
-        Id of the change that is looked for; empty prints all.
+        Id of the change to look up; empty for all changes.
     is_json : bool
         Whether to print JSON.
 
     Returns
     -------
     exit : Exit
-        `FAILED` if the change that was looked for is not in the history.
+        `FAILED` if an operation is given that is not in the history.
     """
     async with open_site(addresses) as site:
-        stored = await site.in_force()
+        stored = await site.newest_configuration()
     history = stored.root.history if stored is not None else []
     rows = [
         dataclasses.asdict(change)
@@ -94,21 +94,21 @@
 
 
 async def show_status(addresses, *, is_json):
-    """Print the state of every listed instance.
+    """Print the status of every listed instance.
 
     Returns
     -------
     exit : Exit
-        `NOT_EVERYWHERE` if an instance did not answer or is behind.
+        `NOT_EVERYWHERE` if an instance did not reply or is behind.
     """
     async with open_site(addresses) as site:
-        rows = await site.exchange.statuses(await site.listed())
+        rows = await site.instance_client.statuses(await site.list_instances())
     newest = max((row.revision for row in rows), default=0)
     print_rows(
         [_status_row(row) for row in rows],
         STATUS_COLUMNS,
         is_json=is_json,
-        more={"newest_revision": newest},
+        extra={"newest_revision": newest},
     )
     is_everywhere = all(row.revision == newest for row in rows)
     return Exit.DONE if is_everywhere else Exit.NOT_EVERYWHERE
@@ -123,7 +123,7 @@
         "listed": instance.state.value,
     }
     if report is None:
-        return {**listed, "reasons": "does not answer"}
+        return {**listed, "reasons": "does not respond"}
     return {
         **listed,
         "revision": report.revision,
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/commands/site.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/commands/site.py
@@ -1,4 +1,4 @@
-"""Where an operator's command finds the store and the instances."""
+"""Addresses and clients of store and instances for an operator's command."""
 
 import configparser
 import os
@@ -10,14 +10,14 @@
 from magnoliagrade.errors import ErrorKind, MagnoliagradeError
 from magnoliagrade.store import HttpInstanceList, HttpStore
 
-from magnoliagrade_entry.commands.exchange import InstanceExchange
+from magnoliagrade_entry.commands.instance_client import InstanceClient
 
 __all__ = ["SiteAddresses", "SiteClient", "open_site"]
 
 
 @dataclass(slots=True, kw_only=True)
 class SiteAddresses:
-    """Addresses that a command works with.
+    """Addresses that a command connects to.
 
     Parameters
     ----------
@@ -26,8 +26,8 @@
     instances : str
         URL of the platform's list of instances.
     entry : str
-        URL of an entry's admin listener, by way of which changes are made;
-        empty goes to the store directly.
+        URL of an entry's admin listener, through which changes are made; if empty,
+        changes are written to the store directly.
     """
 
     store: str = ""
@@ -35,17 +35,17 @@
     entry: str = ""
 
     @classmethod
-    def find(cls, *, store="", instances="", entry="", settings="", environ=None):
+    def resolve(cls, *, store="", instances="", entry="", settings="", environ=None):
         """Return addresses from flags, the environment or a settings file.
 
         Parameters
         ----------
         store, instances, entry : str
-            Flags; they go first.
+            Values of the flags; they have the highest priority.
         settings : str
-            Settings file of an entry; it goes last.
+            Settings file of an entry; it has the lowest priority.
         environ : dict of str to str, optional
-            Environment; the process's by default.
+            Environment variables; those of the process by default.
         """
         environ = os.environ if environ is None else environ
         parser = configparser.ConfigParser(interpolation=None)
@@ -64,58 +64,62 @@
 
 
 class SiteClient:
-    """Clients of store, instances and entry for the time of one command.
+    """Clients of store, instances and entry for one command.
 
     Parameters
     ----------
     addresses : SiteAddresses
-        Where they are.
+        Addresses to connect to.
     session : aiohttp.ClientSession
         Session to use.
     """
 
-    __slots__ = ("addresses", "exchange", "repository", "session")
+    __slots__ = ("addresses", "instance_client", "repository", "session")
 
     def __init__(self, *, addresses, session):
         self.addresses = addresses
         self.session = session
-        self.exchange = InstanceExchange()
+        self.instance_client = InstanceClient()
         self.repository = None
         if addresses.store:
             store = HttpStore(url=addresses.store, session=session)
             self.repository = ConfigurationRepository(store=store)
 
-    async def listed(self):
-        """Return the listed instances.
+    async def list_instances(self):
+        """Return the instances that the platform lists.
 
         Raises
         ------
         MagnoliagradeError
-            `STORE_UNAVAILABLE` if no list can be read.
+            `STORE_UNAVAILABLE` if the list cannot be read.
         """
         if not self.addresses.instances:
-            _refuse("no list of instances: give --instances or set it in --settings")
+            _raise_unavailable(
+                "no URL of the list of instances; set it with --instances or --settings"
+            )
         client = HttpInstanceList(url=self.addresses.instances, session=self.session)
         return await client.fetch()
 
-    def needs_repository(self):
-        """Return the repository.
+    def require_repository(self):
+        """Return the repository of the configuration.
 
         Raises
         ------
         MagnoliagradeError
-            `STORE_UNAVAILABLE` if no address of a store is known.
+            `STORE_UNAVAILABLE` if the address of the store is not known.
         """
         if self.repository is None:
-            _refuse("no store: give --store or --entry, or set it in --settings")
+            _raise_unavailable(
+                "no URL of the store; set it with --store, --entry or --settings"
+            )
         return self.repository
 
-    async def in_force(self):
-        """Return the newest configuration of store and instances, or None."""
-        found = None
+    async def newest_configuration(self):
+        """Return the newest configuration in the store or on an entry, or None."""
+        newest = None
         if self.repository is not None:
             try:
-                found = await self.repository.load()
+                newest = await self.repository.load()
             except MagnoliagradeError as exc:
                 if not self.addresses.instances:
                     raise
@@ -125,27 +129,29 @@
         else:
             error = None
         if self.addresses.instances:
-            held = await self.exchange.newest(await self.listed())
-            if held is not None and (found is None or held.revision > found.revision):
-                found = held
-        if found is None and error is not None:
+            held = await self.instance_client.newest_configuration(
+                await self.list_instances()
+            )
+            if held is not None and (newest is None or held.revision > newest.revision):
+                newest = held
+        if newest is None and error is not None:
             raise error
-        return found
+        return newest
 
 
 @asynccontextmanager
 async def open_site(addresses):
-    """Open the clients of one command.
+    """Open the clients that a command needs and close them afterwards.
 
     Parameters
     ----------
     addresses : SiteAddresses
-        Where store, list and entry are.
+        Addresses of store, list of instances and entry.
     """
     timeout = aiohttp.ClientTimeout(total=30)
     async with aiohttp.ClientSession(timeout=timeout) as session:
         yield SiteClient(addresses=addresses, session=session)
 
 
-def _refuse(detail):
+def _raise_unavailable(detail):
     raise MagnoliagradeError(ErrorKind.STORE_UNAVAILABLE, detail)
