--- a/packages/magnoliagrade-agent/magnoliagrade_agent/__init__.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/__init__.py
@@ -1,4 +1,4 @@
-"""Endpoint agent of magnoliagrade: the authority over one endpoint."""
+"""Agent of magnoliagrade that limits and forwards the requests to one endpoint."""
 
 from magnoliagrade.lazy_exports import lazy_exports
 
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/cli.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/cli.py
@@ -1,4 +1,4 @@
-"""The binary `magnoliagrade-agent`."""
+"""Command line `magnoliagrade-agent`."""
 
 from magnoliagrade.node import check_settings, run_command_line, serve_node
 
@@ -40,11 +40,11 @@
         file : str
             Settings in INI.
         direct : bool
-            Whether the file is of an agent on the operators' platform.
+            Whether the file is for an agent on the operators' platform.
         """
         check_settings(DirectAgentSettings if direct else AgentSettings, file)
 
 
 def main():
-    """Run the command line."""
+    """Run the command line `magnoliagrade-agent`."""
     run_command_line(Commands, name="magnoliagrade-agent")
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/door.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/door.py
@@ -1,4 +1,4 @@
-"""The HTTP listener of an agent: requests from entries to its endpoint."""
+"""HTTP handler of an agent's listener for requests from entries."""
 
 import asyncio
 import logging
@@ -22,7 +22,7 @@
 from prometheus_client import Counter
 
 from magnoliagrade_agent.group.serving import group_serving
-from magnoliagrade_agent.probe import block_endpoint
+from magnoliagrade_agent.probe import suspend_endpoint
 
 __all__ = ["make_data_handler"]
 
@@ -54,7 +54,7 @@
                 request = await _read_request(node, http_request)
                 await _serve(node, request, http_request.headers, sink)
             except MagnoliagradeError as exc:
-                return _answer_error(exc, request, sink)
+                return _respond_error(exc, request, sink)
         REQUESTS.labels("whole").inc()
         return sink.response
 
@@ -90,15 +90,15 @@
     async def serve(recording):
         await _admit_and_follow(node, request, headers, recording)
 
-    work = _error_of(node.outcomes.follow(headers[names.ATTEMPT], sink, serve))
-    # An order that was handed over goes on to its end when the entry is gone.
+    work = _error_or_none(node.outcomes.follow(headers[names.ATTEMPT], sink, serve))
+    # A request that may run only once is completed even if the entry disconnects.
     task = node.tasks.start(work, name=f"order {request.id}")
     error = await asyncio.shield(task)
     if error is not None:
         raise error
 
 
-async def _error_of(work):
+async def _error_or_none(work):
     try:
         await work
     except MagnoliagradeError as exc:
@@ -115,22 +115,22 @@
     work = await node.credits.admit(request, entry=headers[names.ENTRY])
     with node.credits.track(work):
         try:
-            await _exchange(node, request, work, headers, sink)
+            await _relay_response(node, request, work, headers, sink)
         except aiohttp.ClientConnectionResetError:
-            # The entry has gone; the endpoint may go on for a moment.
+            # The entry has disconnected; the endpoint may continue for a short time.
             raise
         except (aiohttp.ClientPayloadError, aiohttp.ClientConnectionError) as exc:
-            detail = f"endpoint broke off after {sink.bytes_written} bytes"
+            detail = f"endpoint response truncated after {sink.bytes_written} bytes"
             raise MagnoliagradeError(ErrorKind.ANSWER_BROKEN, detail) from exc
 
 
-async def _exchange(node, request, work, headers, sink):
+async def _relay_response(node, request, work, headers, sink):
     attempt = headers[names.ATTEMPT]
     with _tracer.start_as_current_span("endpoint.call") as span:
         span.set_attribute("magnoliagrade.attempt", attempt)
         span.set_attribute("magnoliagrade.limit", node.credits.limit)
         inject_context(request.header_by_name)
-        response = await _open(node, request, attempt, headers)
+        response = await _open_response(node, request, attempt, headers)
         async with response:
             node.credits.confirm(work)
             work.has_failed = response.status >= 500
@@ -142,7 +142,7 @@
     work.is_complete = True
 
 
-async def _open(node, request, attempt, headers):
+async def _open_response(node, request, attempt, headers):
     resume_tokens = 0
     if request.repeatable:
         resume_tokens = int(headers.get(names.RESUME_TOKENS, "0"))
@@ -154,13 +154,13 @@
         )
     except MagnoliagradeError as exc:
         if exc.kind is ErrorKind.NOT_RUN:
-            block_endpoint(node)
+            suspend_endpoint(node)
             if not request.repeatable:
                 node.attempts.undo(attempt)
         raise
 
 
-def _answer_error(error, request, sink):
+def _respond_error(error, request, sink):
     REQUESTS.labels(error.kind.value).inc()
     request_id = request.id if request else ""
     log_event(
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/engine.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/engine.py
@@ -1,4 +1,4 @@
-"""Client of the endpoint: its requests, load reports and orders."""
+"""HTTP client of the endpoint: requests and load reports."""
 
 import asyncio
 from urllib.parse import urlsplit
@@ -14,32 +14,33 @@
 
 
 class EngineClient:
-    """The endpoint's engine or plain service.
+    """Client of the model engine or plain service behind an endpoint.
 
     Parameters
     ----------
     url : str
-        Base URL.
+        Base URL of the endpoint.
     session : aiohttp.ClientSession
-        Session whose connections are used.
-    order_session : aiohttp.ClientSession
-        Session that opens a connection for each request.
+        Session for load reports and for requests that may be repeated.
+    single_use_session : aiohttp.ClientSession
+        Session that opens a new connection for each request; used for requests
+        that may run only once.
     work : str
-        Kind of back end.
+        Kind of back end, a value of `Work`.
 
     Notes
     -----
     The engine's protocol is described in docs/PLATFORM.md. A request that may run
-    only once goes over a connection of its own: a kept one may have been closed by
-    the endpoint, which cannot be told from a request that was lost while it ran.
+    only once is sent on a new connection. The endpoint may have closed a kept
+    connection, and that looks the same as a request that was lost while it ran.
     """
 
-    __slots__ = ("_order_session", "_session", "_url", "_work")
+    __slots__ = ("_single_use_session", "_session", "_url", "_work")
 
-    def __init__(self, *, url, session, order_session, work=Work.SERVICE.value):
+    def __init__(self, *, url, session, single_use_session, work=Work.SERVICE.value):
         self._url = url.rstrip("/")
         self._session = session
-        self._order_session = order_session
+        self._single_use_session = single_use_session
         self._work = work
 
     async def open(self, request, *, attempt, resume_tokens=0):
@@ -48,18 +49,19 @@
         Parameters
         ----------
         request : Request
-            The request.
+            Request to send.
         attempt : str
             Id of the attempt, echoed by the engine.
         resume_tokens : int
-            Tokens that the caller has already; the stream goes on after them.
+            Number of tokens that the caller already has; the stream continues after
+            them.
 
         Raises
         ------
         MagnoliagradeError
             `NOT_RUN` if no connection could be made, `OUTCOME_UNKNOWN` if it was
-            lost before an answer or brought another request's answer,
-            `ANSWER_BROKEN` if the end of the answer could not be recognised.
+            lost before a response or returned the response to another request,
+            `ANSWER_BROKEN` if the end of the response could not be recognised.
         """
         headers = dict(request.header_by_name)
         headers["X-Request-Id"] = request.id
@@ -67,7 +69,7 @@
         headers["X-Priority"] = str(request.priority)
         if resume_tokens:
             headers["X-Resume-Tokens"] = str(resume_tokens)
-        session = self._session if request.repeatable else self._order_session
+        session = self._session if request.repeatable else self._single_use_session
         try:
             response = await send_once(
                 session,
@@ -81,31 +83,33 @@
         except (aiohttp.ClientError, OSError) as exc:
             detail = f"endpoint connection lost: {type(exc).__name__}"
             raise MagnoliagradeError(ErrorKind.OUTCOME_UNKNOWN, detail) from exc
-        self._check_own(request, attempt, response)
+        self._check_response(request, attempt, response)
         return response
 
-    def _check_own(self, request, attempt, response):
-        """Discard an answer that belongs to another request or has no end."""
+    def _check_response(self, request, attempt, response):
+        """Reject a response to another request, or one whose end is not marked."""
         echoed = response.headers.get("X-Request-Id")
         echoed_attempt = response.headers.get("X-Attempt-Id", attempt)
-        is_own = echoed == request.id and echoed_attempt == attempt
+        is_match = echoed == request.id and echoed_attempt == attempt
         may_lack_echo = self._work == Work.SERVICE.value or response.status >= 400
-        if not is_own and not (echoed is None and may_lack_echo):
+        if not is_match and not (echoed is None and may_lack_echo):
             response.close()
-            detail = f"answer to request {echoed!r} came to request {request.id!r}"
+            detail = (
+                f"response to request {echoed!r} arrived for request {request.id!r}"
+            )
             raise MagnoliagradeError(ErrorKind.OUTCOME_UNKNOWN, detail)
-        if not _has_end(request, response):
+        if not _has_marked_end(request, response):
             response.close()
-            detail = "answer has neither a length nor an explicit end"
+            detail = "response has neither a content length nor an explicit end"
             raise MagnoliagradeError(ErrorKind.ANSWER_BROKEN, detail)
 
-    async def takes_connections(self, *, source=""):
-        """Return whether the endpoint accepts a connection now.
+    async def accepts_connections(self, *, source=""):
+        """Connect to the endpoint and return whether it accepted the connection.
 
         Parameters
         ----------
         source : str
-            Local address to connect from; empty leaves it to the system.
+            Local address to connect from; if empty, the system chooses it.
         """
         url = urlsplit(self._url)
         local = (source, 0) if source else None
@@ -125,7 +129,7 @@
         Raises
         ------
         MagnoliagradeError
-            `UPSTREAM_FAILED` if it cannot be had.
+            `UPSTREAM_FAILED` if the report cannot be fetched or read.
         """
         try:
             async with (
@@ -142,12 +146,12 @@
                     age_s=fields["age_s"],
                 )
         except (aiohttp.ClientError, OSError, TimeoutError, KeyError, ValueError) as e:
-            detail = f"load report: {type(e).__name__}"
+            detail = f"cannot fetch load report: {type(e).__name__}"
             raise MagnoliagradeError(ErrorKind.UPSTREAM_FAILED, detail) from e
 
 
-def _has_end(request, response):
-    """Return whether a truncated answer could be told from a whole one."""
+def _has_marked_end(request, response):
+    """Return whether truncation of the response could be detected."""
     if request.method == "HEAD" or response.status in (204, 304):
         return True
     coding = response.headers.get("Transfer-Encoding", "")
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/handlers.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/handlers.py
@@ -1,4 +1,4 @@
-"""Messages that an agent handles, and its background tasks."""
+"""Tables of an agent's message handlers and background tasks."""
 
 import logging
 
@@ -28,12 +28,12 @@
 
 @agent_handlers.on(Heartbeat)
 async def on_heartbeat(node, link, message):
-    """Nothing to do: any message shows that the other side is alive."""
+    """Do nothing; the link records each received message as a sign of life."""
 
 
 @agent_handlers.on(Leaving)
 async def on_leaving(node, link, message):
-    """Refuse new work if the notice is about this endpoint."""
+    """Reject new work from now on if the notice is about this endpoint."""
     if message.subject == node.identity.instance:
         if message.subject_incarnation == node.identity.incarnation:
             node.is_listed_leaving = True
@@ -47,6 +47,6 @@
 
 @agent_handlers.on(Revoke)
 async def on_revoke(node, link, message):
-    """Withdraw an attempt and say whether it never started, or how it ended."""
+    """Revoke an attempt and reply whether it never started, or how it ended."""
     never_started = node.attempts.revoke(message.attempt)
     link.send(node.outcomes.answer(message.attempt, never_started=never_started))
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/instance.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/instance.py
@@ -1,4 +1,4 @@
-"""The agent instance: everything that one agent process holds."""
+"""The agent instance: the state and life cycle of one agent process."""
 
 import importlib
 import logging
@@ -30,18 +30,18 @@
     settings : AgentSettings
         Checked settings.
     clock : Clock, optional
-        Source of time; the system's by default.
+        Source of time; the system clock by default.
     """
 
     __slots__ = (
-        "_was_refusing",
+        "_was_rejecting",
         "attempts",
         "credits",
         "engine",
         "group_service",
         "is_listed_leaving",
         "load_watch",
-        "order_session",
+        "single_use_session",
         "outcomes",
         "pool",
     )
@@ -66,7 +66,7 @@
         self.credits.on_capacity_freed = lambda: send_grants(self)
         self.load_watch = LoadWatch()
         self.is_listed_leaving = False
-        self._was_refusing = False
+        self._was_rejecting = False
         self.pool = None
         self.group_service = None
         self.configuration.listeners.append(lambda _: self.apply_configuration())
@@ -74,11 +74,11 @@
     async def start(self):
         """Open every listener and start the background tasks."""
         self.open_clients()
-        self.order_session = self.make_session(keeps_connections=False)
+        self.single_use_session = self.make_session(keeps_connections=False)
         self.engine = EngineClient(
             url=self.settings.url,
             session=self.session,
-            order_session=self.order_session,
+            single_use_session=self.single_use_session,
             work=self.settings.work,
         )
         if self.settings.group:
@@ -101,17 +101,17 @@
         await self.announce_leaving()
         await self.wait_for_requests(self.count_in_flight)
         await self.close()
-        await self.order_session.close()
+        await self.single_use_session.close()
         log_event(_log, "agent.stopped")
 
     def count_in_flight(self):
-        """Return the requests that would break off if this agent ended now."""
+        """Return the number of requests that would be cut off if this agent stopped."""
         if self.group_service is not None:
             return self.group_service.count_in_flight()
         return self.credits.count_in_flight
 
     def hello(self):
-        """Return the first message of each link."""
+        """Return the first message that this agent sends on each link."""
         hello = super().hello()
         labels = self.settings.label_by_name()
         hello.labels = [Label(name=k, value=v) for k, v in sorted(labels.items())]
@@ -120,40 +120,40 @@
         return hello
 
     def reason_to_reject(self):
-        """Return why new work is rejected, or an empty text.
+        """Return why new work is rejected; empty if it is accepted.
 
         Returns
         -------
         reason : str
-            Says which of shutdown, the platform's list and the operators' labels
-            takes this endpoint out.
+            Names the cause: shutdown, the platform's list of instances or the
+            operators' labels.
         """
         if self.is_leaving:
             return "the endpoint is leaving"
         if self.is_listed_leaving:
             return "the platform lists the endpoint as leaving"
         if self.configuration.in_force.is_data_centre_out(self.identity.data_centre):
-            return f"data centre {self.identity.data_centre!r} is out"
+            return f"data centre {self.identity.data_centre!r} is out of service"
         if self.labels().get("state") == "draining":
             return "the endpoint is draining"
         return ""
 
     def reasons_not_ready(self):
-        """Return why this agent should get no requests; empty if ready."""
+        """Return the reasons why this agent is not ready; empty if it is ready."""
         reason = self.reason_to_reject()
         return [reason] if reason else []
 
     def labels(self):
-        """Return the endpoint's labels with the operators' on top."""
+        """Return the endpoint's labels; those that operators set take precedence."""
         own = self.settings.label_by_name()
         return self.configuration.in_force.labels_of(self.identity.instance, own)
 
     def apply_configuration(self):
-        """Take a new configuration: limits, and a cold start after coming back."""
-        is_refusing = bool(self.reason_to_reject())
-        if self._was_refusing and not is_refusing:
+        """Apply a new configuration: limits, and a cold limit after readmission."""
+        is_rejecting = bool(self.reason_to_reject())
+        if self._was_rejecting and not is_rejecting:
             self.credits.reset_to_cold_limit("admitted-again")
-        self._was_refusing = is_refusing
+        self._was_rejecting = is_rejecting
         self._apply_pool()
 
     def _apply_pool(self):
@@ -166,7 +166,7 @@
                 return
 
     def on_link_up(self, link):
-        """Tell an entry what the endpoint bears, a peer which rank this is."""
+        """Send load and group state to an entry, or a join message to a group peer."""
         if self.group_service is not None:
             self.group_service.on_link_up(link)
         if link.hello.role != Role.ENTRY.value:
@@ -175,7 +175,7 @@
         self.load_watch.send_to(self, link)
 
     def on_link_down(self, link):
-        """Forget what an entry asked for; its credit lapses with the lease."""
+        """Drop an entry's pending credit requests; its credit expires by its lease."""
         if link.peer_instance not in self.links.by_instance:
             self.credits.grants.drop_pending(link.peer_instance)
 
@@ -193,11 +193,11 @@
             full_limit=pool.full_limit,
             options=pool.options,
         )
-        self.load_watch.send_changes(self)
+        self.load_watch.send_if_changed(self)
 
 
 def _make_group_service(node):
-    """Return the group's part of an agent; others need none of its libraries."""
+    """Return the group service; only agents in a group import its libraries."""
     importlib.import_module("magnoliagrade_agent.group.handlers")
     service = importlib.import_module("magnoliagrade_agent.group.service")
     return service.GroupService(node=node)
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/load_watch.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/load_watch.py
@@ -1,4 +1,4 @@
-"""What an agent tells entries: its endpoint's load and their credit."""
+"""Reads the endpoint's load and sends load and credit to entries."""
 
 import logging
 
@@ -12,30 +12,41 @@
 
 __all__ = ["LoadWatch", "send_grants"]
 
-BLIND_INTERVAL_S = 0.1
-CHANGE_INTERVAL_S = 1.0
-FULL_INTERVAL_S = 0.05
+# Longest time between reads of the load while a report could raise the admitted cost.
+MAX_NEEDED_REPORT_INTERVAL_S = 0.1
+# Shortest time between messages about changes other than a falling limit, a limit
+# that rises from 0 or an engine's restart, which are sent immediately.
+MIN_CHANGE_INTERVAL_S = 1.0
+# Shortest time between messages to an entry whose credit request stays pending.
+MIN_PENDING_NOTICE_INTERVAL_S = 0.05
+# Longest time between messages if nothing changes.
 REFRESH_INTERVAL_S = 5.0
-NOTABLE_FRACTION = 0.1
-EMPTY_CACHE = 0.02
-USED_CACHE = 0.3
+# Smallest change of the limit or of the held cost that is sent, relative to the limit.
+MIN_CHANGE_FRACTION = 0.1
+# A fall of the cache's used fraction from at least the second to at most the first of
+# these values means that the engine's cache was emptied.
+MAX_EMPTY_CACHE_FRACTION = 0.02
+MIN_USED_CACHE_FRACTION = 0.3
 _log = logging.getLogger(__name__)
 
 
 class LoadWatch:
-    """Newest load report and what entries were told of it last.
+    """Newest load report and the message about it that entries got last.
 
     Notes
     -----
-    Entries are told at once when the limit falls, within a second of a notable
-    change, and every five seconds otherwise, so that links at rest carry little. An
-    entry whose ask has to wait is told at once.
+    Entries are notified immediately when the limit falls below 0.9 of the value that
+    was sent last, and every five seconds if nothing changes, so that idle links carry
+    little traffic. They are notified within a second of other changes: of the limit or
+    the held cost by `MIN_CHANGE_FRACTION`, of the requested credit, or of whether there
+    is headroom. An entry whose credit request stays pending is notified immediately,
+    at most every 0.05 s.
     """
 
     __slots__ = (
-        "_full_told_at_by_entry",
-        "_told",
-        "_told_at",
+        "_pending_notice_at_by_entry",
+        "_sent",
+        "_sent_at",
         "limit_policy_name",
         "report",
     )
@@ -43,32 +54,34 @@
     def __init__(self):
         self.report = LoadReport()
         self.limit_policy_name = ""
-        self._full_told_at_by_entry = {}
-        self._told = EngineLoad()
-        self._told_at = float("-inf")
+        self._pending_notice_at_by_entry = {}
+        self._sent = EngineLoad()
+        self._sent_at = float("-inf")
 
     def send_to(self, node, link):
-        """Tell one entry."""
+        """Send the endpoint's load to an entry; do nothing for other roles."""
         if link.hello.role == Role.ENTRY.value:
             link.send(self._message(node))
 
-    def send_full(self, node, link):
-        """Tell an entry whose ask has to wait, so that it may ask elsewhere."""
+    def send_pending_notice(self, node, link):
+        """Send the load to an entry with a pending request, which may try elsewhere."""
         now = node.clock.monotonic()
-        told_at = self._full_told_at_by_entry.get(link.peer_instance, float("-inf"))
-        if now - told_at >= FULL_INTERVAL_S:
-            self._full_told_at_by_entry[link.peer_instance] = now
+        last_sent_at = self._pending_notice_at_by_entry.get(
+            link.peer_instance, float("-inf")
+        )
+        if now - last_sent_at >= MIN_PENDING_NOTICE_INTERVAL_S:
+            self._pending_notice_at_by_entry[link.peer_instance] = now
             self.send_to(node, link)
 
-    def send_changes(self, node):
-        """Tell every entry, if there is news that is worth it."""
+    def send_if_changed(self, node):
+        """Send the load to all entries if it changed enough or a refresh is due."""
         message = self._message(node)
         now = node.clock.monotonic()
-        since_s = now - self._told_at
-        if not _is_due(self._told, message, since_s):
+        since_s = now - self._sent_at
+        if not _is_due(self._sent, message, since_s):
             return
-        self._told = message
-        self._told_at = now
+        self._sent = message
+        self._sent_at = now
         for link in node.links.of_role(Role.ENTRY):
             link.send(message)
 
@@ -89,25 +102,25 @@
         )
 
 
-def _is_due(told, message, since_s):
-    if message.boot_id != told.boot_id or message.limit < 0.9 * told.limit:
+def _is_due(sent, message, since_s):
+    if message.boot_id != sent.boot_id or message.limit < 0.9 * sent.limit:
         return True
-    if message.limit and not told.limit:
+    if message.limit and not sent.limit:
         return True
     if since_s >= REFRESH_INTERVAL_S:
         return True
-    if since_s < CHANGE_INTERVAL_S:
+    if since_s < MIN_CHANGE_INTERVAL_S:
         return False
-    if bool(message.headroom) != bool(told.headroom):
+    if bool(message.headroom) != bool(sent.headroom):
         return True
-    scale = NOTABLE_FRACTION * max(message.limit, 1.0)
-    moved = max(abs(message.limit - told.limit), abs(message.held - told.held))
-    return moved >= scale or message.asked != told.asked
+    scale = MIN_CHANGE_FRACTION * max(message.limit, 1.0)
+    change = max(abs(message.limit - sent.limit), abs(message.held - sent.held))
+    return change >= scale or message.asked != sent.asked
 
 
 @agent_handlers.on(CreditRequest)
 async def on_credit_request(node, link, message):
-    """Note what an entry asks for or returns, and grant what is free."""
+    """Record credit that an entry requests or returns, and grant free capacity."""
     grants = node.credits.grants
     entry = link.peer_instance
     if message.unused:
@@ -118,20 +131,20 @@
         grants.request_credit(entry, message.wanted, is_surplus=message.is_surplus)
     send_grants(node)
     if message.wanted and grants.has_pending(entry):
-        node.load_watch.send_full(node, link)
+        node.load_watch.send_pending_notice(node, link)
 
 
 @agent_tasks.register("engine-load")
 async def watch_load(node):
-    """Read the engine's load, pass it on and grant what has become free."""
+    """Read the engine's load, send it to entries and grant free capacity."""
     while True:
         if node.settings.work == Work.MODEL.value:
             await _read_load(node)
         send_grants(node)
-        node.load_watch.send_changes(node)
+        node.load_watch.send_if_changed(node)
         pause = node.settings.load_interval_s
         if node.credits.needs_report:
-            pause = min(pause, BLIND_INTERVAL_S)
+            pause = min(pause, MAX_NEEDED_REPORT_INTERVAL_S)
         await node.clock.sleep(pause)
 
 
@@ -147,12 +160,15 @@
     node.credits.on_report(report, requested_at=requested_at)
     if before.boot_id and before.boot_id != report.boot_id:
         log_event(_log, "engine.restarted", boot_id=report.boot_id)
-    elif before.cache_used >= USED_CACHE and report.cache_used <= EMPTY_CACHE:
+    elif (
+        before.cache_used >= MIN_USED_CACHE_FRACTION
+        and report.cache_used <= MAX_EMPTY_CACHE_FRACTION
+    ):
         node.credits.reset_to_cold_limit("cache-emptied")
 
 
 def send_grants(node):
-    """Grant what is free to the entries that ask for it, unless leaving."""
+    """Grant free capacity to entries that request credit, unless work is rejected."""
     if node.reason_to_reject():
         return
     for grant in node.credits.distribute():
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/probe.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/probe.py
@@ -1,4 +1,4 @@
-"""Watching an endpoint that takes no connections until it does again."""
+"""Probes an endpoint that refuses connections until it accepts them again."""
 
 import logging
 
@@ -6,14 +6,15 @@
 
 from magnoliagrade_agent.handlers import agent_tasks
 
-__all__ = ["block_endpoint"]
+__all__ = ["suspend_endpoint"]
 
+# Mean time between attempts to connect.
 PROBE_INTERVAL_S = 0.2
 _log = logging.getLogger(__name__)
 
 
-def block_endpoint(node):
-    """Take back credit for an endpoint that refused a connection.
+def suspend_endpoint(node):
+    """Grant no credit for an endpoint that refused a connection until it recovers.
 
     Parameters
     ----------
@@ -22,8 +23,8 @@
 
     Notes
     -----
-    An endpoint that refuses everything looks idle, so without this it draws more
-    requests the worse it is.
+    An endpoint that refuses all connections appears idle. Without this it would
+    attract requests because it fails them.
     """
     if node.credits.is_blocked:
         return
@@ -34,13 +35,13 @@
 
 @agent_tasks.register("endpoint-probe")
 async def probe_endpoint(node):
-    """Try to connect to a blocked endpoint and give credit once it takes it."""
+    """Probe a suspended endpoint and grant credit again once it accepts connections."""
     source = node.settings.source_address
     while True:
         await node.clock.sleep(PROBE_INTERVAL_S * node.rng.uniform(0.8, 1.2))
         if not node.credits.is_blocked:
             continue
-        if await node.engine.takes_connections(source=source):
+        if await node.engine.accepts_connections(source=source):
             log_event(_log, "endpoint.reachable")
             node.credits.is_blocked = False
             if node.credits.on_capacity_freed is not None:
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/settings.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/settings.py
@@ -11,11 +11,11 @@
 
 @dataclass(slots=True, kw_only=True)
 class AgentSettings(NodeSettings):
-    """Settings of an agent; each field documents itself."""
+    """Settings of an agent; each field's `doc` describes it."""
 
     store_url: str = setting(
         section="platform",
-        doc="URL of the platform's key-value service; only group members use it",
+        doc="URL of the platform's key-value service; used only by agents of a group",
         url=True,
         default="",
         env="MAGNOLIAGRADE_STORE_URL",
@@ -39,7 +39,7 @@
     )
     load_interval_s: float = setting(
         section="endpoint",
-        doc="time between readings of the engine's load",
+        doc="time between reads of the engine's load report",
         unit="s",
         default=0.5,
         low=0.01,
@@ -64,13 +64,14 @@
     )
     rank_url: str = setting(
         section="group",
-        doc="URL of the rank's orders; empty means the endpoint's URL",
+        doc="URL that the rank's orders are sent to; if empty, the endpoint's URL",
         default="",
     )
 
     def combinations(self):
-        """Return texts for settings that cannot go together."""
-        # A dataclass with slots is made twice, so `super()` would miss it.
+        """Return a description of each invalid combination of settings."""
+        # `dataclass(slots=True)` creates a second class, so `super()` without arguments
+        # refers to the wrong one.
         problems = NodeSettings.combinations(self)
         if bool(self.group) != (self.rank >= 0):
             problems.append("[group] group and [group] rank must be set together")
@@ -79,7 +80,7 @@
         return problems
 
     def label_by_name(self):
-        """Return the endpoint's own labels; a rank has its group's name as one."""
+        """Return the endpoint's own labels; in a group, `group` is one of them."""
         parts = [p.partition("=") for p in self.labels.split(",") if p.strip()]
         labels = {name.strip(): value.strip() for name, _, value in parts}
         if self.group:
