--- a/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/credits.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/credits.py
@@ -61,7 +61,7 @@
     ----------
     in_flight : float
         Cost of the requests that the agent tracks.
-    is_blocked : bool
+    is_suspended : bool
         Whether the endpoint accepts no connections, so that nothing is admitted.
     on_capacity_freed : callable, optional
         Called without arguments after each end of a tracked request.
@@ -86,7 +86,7 @@
         "continuity",
         "grants",
         "in_flight",
-        "is_blocked",
+        "is_suspended",
         "limit_policy",
         "on_capacity_freed",
         "untracked",
@@ -101,7 +101,7 @@
         self._snapshot_at = float("-inf")
         self._tracked = {}
         self.in_flight = 0.0
-        self.is_blocked = False
+        self.is_suspended = False
         self.continuity = BootContinuity(has_reports=has_reports)
         self.grants = GrantTable(clock=clock)
         self.untracked = UntrackedWork(clock=clock, has_reports=has_reports)
@@ -115,7 +115,7 @@
     @property
     def limit(self):
         """Return the cost that may be in flight at the endpoint now."""
-        if not self._is_load_known or self.is_blocked:
+        if not self._is_load_known or self.is_suspended:
             return 0.0
         if self.continuity.is_proven:
             return self.limit_policy.limit
@@ -245,9 +245,9 @@
         work.confirmed_at = self._clock.monotonic()
         self.continuity.on_confirmed(work.epoch, at=work.confirmed_at)
 
-    def note_chunk(self, work, chunk):
+    def record_chunk(self, work, chunk):
         """Record the arrival of a chunk of a response body."""
-        work.note_chunk(chunk, at=self._clock.monotonic())
+        work.record_chunk(chunk, at=self._clock.monotonic())
 
     def on_report(self, report, *, requested_at):
         """Update the ledger from a load report of the engine.
@@ -296,7 +296,7 @@
             self._reject(
                 "unknown", "no load report has been made since the agent started"
             )
-        if self.is_blocked:
+        if self.is_suspended:
             self._reject("blocked", "the endpoint does not accept connections")
         if not self.held and self.limit < request.cost <= self._exclusive_limit():
             return
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/work.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/work.py
@@ -54,7 +54,7 @@
     is_complete: bool = False
     has_failed: bool = False
 
-    def note_chunk(self, chunk, *, at):
+    def record_chunk(self, chunk, *, at):
         """Record the arrival of a chunk of the body and count its events."""
         if self.first_byte_at is None:
             self.first_byte_at = at
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/door.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/door.py
@@ -136,7 +136,7 @@
             work.has_failed = response.status >= 500
             await sink.start(response.status, response.headers)
             async for part in response.content.iter_any():
-                node.credits.note_chunk(work, part)
+                node.credits.record_chunk(work, part)
                 await sink.write(part)
             await sink.finish()
     work.is_complete = True
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/probe.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/probe.py
@@ -26,10 +26,10 @@
     An endpoint that refuses all connections appears idle. Without this it would
     attract requests because it fails them.
     """
-    if node.credits.is_blocked:
+    if node.credits.is_suspended:
         return
     log_event(_log, "endpoint.unreachable")
-    node.credits.is_blocked = True
+    node.credits.is_suspended = True
     node.credits.reset_to_cold_limit("unreachable")
 
 
@@ -39,10 +39,10 @@
     source = node.settings.source_address
     while True:
         await node.clock.sleep(PROBE_INTERVAL_S * node.rng.uniform(0.8, 1.2))
-        if not node.credits.is_blocked:
+        if not node.credits.is_suspended:
             continue
         if await node.engine.accepts_connections(source=source):
             log_event(_log, "endpoint.reachable")
-            node.credits.is_blocked = False
+            node.credits.is_suspended = False
             if node.credits.on_capacity_freed is not None:
                 node.credits.on_capacity_freed()
