--- a/packages/magnoliagrade-agent/magnoliagrade_agent/instance.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/instance.py
@@ -145,8 +145,8 @@
 
     def labels(self):
         """Return the endpoint's labels; those that operators set take precedence."""
-        own = self.settings.label_by_name()
-        return self.configuration.in_force.labels_of(self.identity.instance, own)
+        own_labels = self.settings.label_by_name()
+        return self.configuration.in_force.labels_of(self.identity.instance, own_labels)
 
     def apply_configuration(self):
         """Apply a new configuration: limits, and a cold limit after readmission."""
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/probe.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/probe.py
@@ -23,8 +23,8 @@
 
     Notes
     -----
-    An endpoint that refuses all connections appears idle. Without this it would
-    attract requests because it fails them.
+    An endpoint that refuses all connections appears idle. Without this function it
+    would get more requests the more of them it fails.
     """
     if node.credits.is_suspended:
         return
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/watcher_election.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/watcher_election.py
@@ -38,16 +38,16 @@
 
     def is_watcher(self):
         """Return whether this entry should watch the store now."""
-        own = self._node.identity.instance
+        own_name = self._node.identity.instance
         links = self._local_peers()
-        names = {own, *(k.peer_instance for k in links)}
+        names = {own_name, *(k.peer_instance for k in links)}
         failing = self.failing_peers & names
         if self.is_store_failing:
-            failing.add(own)
+            failing.add(own_name)
         ordered = rendezvous_order(_RENDEZVOUS_KEY, names)
         healthy = [n for n in ordered if n not in failing]
         count = WATCHERS_PER_DATA_CENTRE
-        return own in healthy[:count] or own in ordered[:count]
+        return own_name in healthy[:count] or own_name in ordered[:count]
 
     def local_peer_count(self):
         """Return the number of linked entries in this data centre."""
