--- a/packages/magnoliagrade-standins/magnoliagrade_standins/slopes/__init__.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/slopes/__init__.py
@@ -1,4 +1,4 @@
-"""What control costs at several sizes, and what it would cost a fleet."""
+"""Cost of control traffic at several site sizes, extrapolated to a fleet."""
 
 from magnoliagrade_standins.slopes.command import slopes_command
 from magnoliagrade_standins.slopes.fitting import Fleet, fit_line, predict
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/slopes/command.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/slopes/command.py
@@ -1,4 +1,4 @@
-"""The command that measures slopes, prints a table and draws a plot."""
+"""Command that measures the cost of control by site size and reports it."""
 
 import asyncio
 import dataclasses
@@ -12,8 +12,8 @@
     measure_load,
 )
 from magnoliagrade_standins.slopes.measuring import (
-    CHANGES,
-    REST_S,
+    CHANGE_COUNT,
+    REST_DURATION_S,
     measure_idle,
     measure_size,
 )
@@ -34,32 +34,47 @@
     "bytes_out_per_s store_calls_per_s links rss_mb pss_mb"
 ).split()
 ROLES = ("entry", "agent")
-BUDGET = {"cpu_percent": 2.1, "memory_mb": 32.0, "bytes_per_s": 22000.0}
-BUDGET_IN_FORCE_S = 18.0
+# Upper limits for one process at the size of `Fleet`; memory is counted above an
+# idle interpreter with the libraries.
+BUDGET_BY_USAGE = {"cpu_percent": 2.1, "memory_mb": 32.0, "bytes_per_s": 22000.0}
+# Upper limit of the time from accepting a configuration change until every instance
+# has it in force.
+IN_FORCE_BUDGET_S = 18.0
 
 
 def slopes_command(
-    *, families="", json_path="", plot_path="", rest_s=REST_S, changes=CHANGES
+    *,
+    families="",
+    json_path="",
+    plot_path="",
+    rest_s=REST_DURATION_S,
+    changes=CHANGE_COUNT,
 ):
-    """Measure, print, and return the exit code.
+    """Measure the cost of control, print it as tables and return the exit code.
 
     Parameters
     ----------
     families : str
-        Names of families separated by commas; `store`, `requests`, `claims`,
-        `groups` and `restart` are further tables. Empty measures all.
+        Names of families of sizes, separated by commas; `store`, `requests`,
+        `claims`, `groups` and `restart` name further tables. Empty measures
+        everything.
     json_path : str
-        Where to write all readings; empty writes none.
+        JSON file to write all readings to; empty writes none.
     plot_path : str
-        Where to write a plot; empty draws none.
+        Image file to write a plot to; empty writes none.
     rest_s : float
-        How long each size is measured at rest.
+        Seconds for which each size is measured at rest.
     changes : int
-        Changes made at each size.
+        Number of configuration changes made at each size.
+
+    Returns
+    -------
+    code : int
+        Always 0; a missed budget is printed but is not an error.
     """
-    wanted = families if isinstance(families, (list, tuple)) else families.split(",")
-    names = [n for n in wanted if n] or [*FAMILIES, *_PRINTERS]
-    for name, print_table in _PRINTERS.items():
+    requested = families if isinstance(families, (list, tuple)) else families.split(",")
+    names = [n for n in requested if n] or [*FAMILIES, *_PRINT_BY_TABLE]
+    for name, print_table in _PRINT_BY_TABLE.items():
         if name in names:
             print_table(rest_s)
     names = [name for name in names if name in FAMILIES]
@@ -74,7 +89,7 @@
     if json_path:
         _write_json(json_path, idle_by_role, results)
     if plot_path:
-        _draw(plot_path, names, results)
+        _write_plot(plot_path, names, results)
     return 0
 
 
@@ -113,10 +128,10 @@
         )
         for ranks, interval_s in GROUP_SIZES
     ]
-    heads = [f"{ranks}/{interval_s:g}" for ranks, interval_s in GROUP_SIZES]
+    column_labels = [f"{ranks}/{interval_s:g}" for ranks, interval_s in GROUP_SIZES]
     for role in ("member", "coordinator"):
         print(f"\n{role} by ranks / seconds between plans")
-        _print_usages(heads, [usage[role] for usage in usages])
+        _print_usages(column_labels, [usage[role] for usage in usages])
 
 
 def _print_restarts(_seconds):
@@ -128,8 +143,11 @@
         print("  " + field.name.ljust(20), *row, flush=True)
 
 
-def _print_usages(heads, usages):
-    print("  " + "reading".ljust(20), *(f"{head:>10}" for head in heads))
+def _print_usages(column_labels, usages):
+    print(
+        "  " + "reading".ljust(20),
+        *(f"{column_label:>10}" for column_label in column_labels),
+    )
     for reading in READINGS:
         row = (f"{usage[reading]:10.2f}" for usage in usages)
         print("  " + reading.ljust(20), *row, flush=True)
@@ -147,7 +165,7 @@
         print("  " + "".join(f"{value:12.2f}" for value in row), flush=True)
 
 
-_PRINTERS = {
+_PRINT_BY_TABLE = {
     "store": _print_store_calls,
     "requests": _print_requests,
     "claims": _print_claims,
@@ -176,24 +194,24 @@
             print("  " + reading.ljust(20), *(f"{v:10.2f}" for v in row), end="")
             print(f"{slope:12.4f}")
         _print_changes(role, results)
-    worst = [max(r.in_force_s, default=0.0) for r in results]
-    print("  " + "in force, worst s".ljust(20), *(f"{v:10.2f}" for v in worst))
+    max_in_force_s = [max(r.in_force_s, default=0.0) for r in results]
+    print("  " + "in force, worst s".ljust(20), *(f"{v:10.2f}" for v in max_in_force_s))
     stalls = [1000 * r.stall_s for r in results]
     print("  " + "longest stall ms".ljust(20), *(f"{v:10.1f}" for v in stalls))
 
 
 def _print_changes(role, results):
     for reading in ("cpu_percent", "bytes_in_per_s", "bytes_out_per_s"):
-        row = [_per_change(r, role, reading) for r in results]
+        row = [_reading_per_change(r, role, reading) for r in results]
         label = reading.replace("_per_s", "").replace("cpu_percent", "cpu ms")
         scale = 10 if reading == "cpu_percent" else 1
         values = (f"{scale * v:10.1f}" for v in row)
         print("  " + f"{label} a change".ljust(20), *values)
 
 
-def _per_change(result, role, reading):
-    more = result.change_by_role[role][reading] - result.rest_by_role[role][reading]
-    return more / result.changes_per_s
+def _reading_per_change(result, role, reading):
+    increase = result.change_by_role[role][reading] - result.rest_by_role[role][reading]
+    return increase / result.changes_per_s
 
 
 def _print_fleet(results, idle_by_role, fleet):
@@ -202,18 +220,23 @@
     for role in ROLES:
         value = {name: predict(results, role, name, fleet) for name in READINGS}
         memory = value["rss_mb"] - idle_by_role[role]["rss_mb"]
-        spent = {
+        amount_by_usage = {
             "cpu_percent": value["cpu_percent"],
             "memory_mb": memory,
             "bytes_per_s": value["bytes_in_per_s"] + value["bytes_out_per_s"],
         }
-        for name, amount in spent.items():
-            verdict = "within" if amount <= BUDGET[name] else "MISSED"
-            print(f"  {role} {name}: {amount:.2f} of {BUDGET[name]:g}, {verdict}")
+        for name, amount in amount_by_usage.items():
+            verdict = "within" if amount <= BUDGET_BY_USAGE[name] else "MISSED"
+            print(
+                f"  {role} {name}: {amount:.2f} of {BUDGET_BY_USAGE[name]:g}, {verdict}"
+            )
         for name in READINGS:
             print(f"    {name} = {value[name]:.2f}")
-    worst = max((max(r.in_force_s, default=0.0) for r in results), default=0.0)
-    print(f"  in force: {worst:.2f} s of {BUDGET_IN_FORCE_S:g} at the sizes measured")
+    max_in_force_s = max((max(r.in_force_s, default=0.0) for r in results), default=0.0)
+    print(
+        f"  in force: {max_in_force_s:.2f} s of {IN_FORCE_BUDGET_S:g} "
+        "at the sizes measured"
+    )
 
 
 def _write_json(path, idle_by_role, results):
@@ -222,7 +245,7 @@
         json.dump({"idle": idle_by_role, "results": rows}, file, indent=1)
 
 
-def _draw(path, names, results):
+def _write_plot(path, names, results):
     import matplotlib
 
     matplotlib.use("Agg")
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/slopes/fitting.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/slopes/fitting.py
@@ -1,4 +1,4 @@
-"""Slopes through measured sizes, and what they give for a fleet."""
+"""Linear fits of readings over site size, and their extrapolation to a fleet."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Fleet:
-    """The size that is worked towards.
+    """Size of the fleet that readings are extrapolated to.
 
     Parameters
     ----------
@@ -18,11 +18,11 @@
     agents : int
         Agents in each data centre.
     organisations : int
-        Organisations.
+        Number of organisations in the configuration.
     data_centres : int
-        Data centres.
+        Number of data centres.
     changes_per_day : int
-        Changes of the configuration a day.
+        Configuration changes per day.
     """
 
     entries: int = 39
@@ -33,24 +33,24 @@
 
     @property
     def changes_per_s(self):
-        """Changes of the configuration a second."""
+        """Configuration changes per second."""
         return self.changes_per_day / 86400
 
 
 def fit_line(values, readings):
-    """Return slope and intercept of the least-squares line through readings.
+    """Return the slope and intercept of a least-squares line through readings.
 
     Parameters
     ----------
     values : sequence of float
-        Sizes.
+        Sizes; at least two different ones.
     readings : sequence of float
-        What was read at each.
+        Reading at each size.
 
     Returns
     -------
     slope, intercept : float
-        The line.
+        Change of the reading per unit of size, and the reading at size 0.
 
     Examples
     --------
@@ -63,34 +63,39 @@
 
 
 def predict(results, role, name, fleet):
-    """Return what one reading would be at a fleet's size.
+    """Return one reading extrapolated to the size of a fleet.
 
     Parameters
     ----------
     results : list of SizeResult
-        Results of all families.
+        Results of all families of sizes.
     role : str
         `entry` or `agent`.
     name : str
         Name of the reading.
     fleet : Fleet
-        The size.
+        Size to extrapolate to.
 
     Returns
     -------
     value : float
-        The reading of the smallest size of organisations, which all families
-        share, plus each family's slope times the distance to the fleet.
+        The reading of the smallest size of the `organisations` family, plus for
+        each family its slope times the difference between the fleet and that size.
 
     Notes
     -----
-    The families are added up; what two sizes cause together beyond their sum is
-    not in it.
+    The model is additive: interactions between two dimensions of size, such as
+    entries and data centres, are not modelled.
     """
     base = _smallest(results, "organisations")
     total = _reading(base, role, name)
-    at_base = {"entries": 2, "agents": 2, "organisations": 10, "data_centres": 1}
-    for family, start in at_base.items():
+    base_size_by_family = {
+        "entries": 2,
+        "agents": 2,
+        "organisations": 10,
+        "data_centres": 1,
+    }
+    for family, start in base_size_by_family.items():
         rows = [r for r in results if r.family == family]
         if len(rows) < 2:
             continue
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/slopes/load_cost.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/slopes/load_cost.py
@@ -1,4 +1,4 @@
-"""What control costs under load: requests, keyed orders, groups of ranks."""
+"""Cost of control under load: requests, keyed orders and groups of ranks."""
 
 import asyncio
 
@@ -16,32 +16,35 @@
 __all__ = ["GROUP_SIZES", "LOAD_RATES_PER_S", "measure_group", "measure_load"]
 
 LOAD_RATES_PER_S = (0, 20, 40)
-# Ranks, and seconds between plans; counts are sent five times between two plans.
+# Number of ranks, and seconds between rebalancing plans; expert counts are sent five
+# times between two plans.
 GROUP_SIZES = ((4, 10.0), (16, 10.0), (32, 10.0), (32, 300.0))
 EXPERTS = 128
 LAYERS = 60
+# Length of a step of the ranks.
 STEP_S = 0.1
+# Time after the start of a group for its formation before measuring.
 GROUP_SETTLE_S = 15.0
 
 
 async def measure_load(*, rate_per_s, orders, seconds, entries=2):
-    """Return the mean usage of each role under a load.
+    """Start a site, put a load on it and return the mean usage of each role.
 
     Parameters
     ----------
     rate_per_s : float
-        Requests a second; 0 measures at rest.
+        Requests per second; 0 measures at rest.
     orders : bool
         Whether the requests are keyed orders; otherwise they are completions.
     seconds : float
-        Length of the load.
+        Duration of the load.
     entries : int
-        Number of entries that share it.
+        Number of entries that the load is distributed over.
 
     Returns
     -------
     mean_by_role : dict of str to dict
-        Readings by name; those of processor time hold the requests themselves too.
+        Readings by name. Processor time includes the handling of the requests.
     """
     plan = SitePlan(
         entries_by_data_centre={"dc0": entries},
@@ -66,27 +69,27 @@
 
 
 async def measure_group(*, ranks, interval_s, seconds):
-    """Return what the agents of one group spend while its map is being balanced.
+    """Return the usage of the agents of one group while its map is rebalanced.
 
     Parameters
     ----------
     ranks : int
         Number of ranks.
     interval_s : float
-        Seconds between plans.
+        Seconds between rebalancing plans.
     seconds : float
-        How long to measure.
+        Duration of the measurement.
 
     Returns
     -------
     usage_by_role : dict of str to dict
-        Means of the members, and the readings of the coordinator: the agent that
-        gets the most bytes.
+        `member` has the means over the members, `coordinator` the readings of the
+        coordinator, which is the agent that receives the most bytes.
     """
     plan = group_plan(ranks=ranks, interval_s=interval_s)
     for name, value in (("experts", EXPERTS), ("layers", LAYERS)):
-        plan.configuration = _set(plan.configuration, name, value)
-    plan.configuration = _set(
+        plan.configuration = _set_group_key(plan.configuration, name, value)
+    plan.configuration = _set_group_key(
         plan.configuration, "slots_per_rank", EXPERTS // ranks + 2
     )
     options = {"experts": EXPERTS, "layers": LAYERS, "step_s": STEP_S}
@@ -98,7 +101,7 @@
     return {"member": mean_usage(agents[:-1]), "coordinator": agents[-1]}
 
 
-def _set(text, key, value):
+def _set_group_key(text, key, value):
     head, found, group = text.partition(f"[group {GROUP}]")
     lines = [
         f"{key} = {value}" if line.startswith(f"{key} =") else line
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/slopes/measuring.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/slopes/measuring.py
@@ -1,4 +1,4 @@
-"""Measuring one size with real processes, at rest and under changes."""
+"""Measurement of one site size with real processes, at rest and under changes."""
 
 import asyncio
 import multiprocessing
@@ -30,12 +30,17 @@
     "usage_by_role",
 ]
 
+# Time after the start of a site for links to be set up before measuring.
 SETTLE_S = 6.0
-REST_S = 10.0
-CHANGES = 8
+REST_DURATION_S = 10.0
+CHANGE_COUNT = 8
+# Pause between a change that is in force and the next one.
 CHANGE_PAUSE_S = 0.75
-POLL_S = 0.01
-IN_FORCE_LIMIT_S = 30.0
+# Interval between polls of an admin listener.
+POLL_INTERVAL_S = 0.01
+# Time after which a change is no longer waited for.
+IN_FORCE_TIMEOUT_S = 30.0
+# Imports a binary, announces readiness as `SpawnedProcess` expects it, and idles.
 IDLE_PROGRAM = (
     "import json, sys, time; import {module}; "
     "print(json.dumps({{'addresses': {{}}}}), flush=True); time.sleep(600)"
@@ -44,24 +49,26 @@
 
 @dataclass(slots=True, kw_only=True)
 class SizeResult:
-    """What one size gave.
+    """Readings of one site size.
 
     Parameters
     ----------
     family : str
-        What was varied.
+        Dimension of size that was varied.
     value : int
-        Its value.
+        Size in that dimension.
     rest_by_role : dict of str to dict
-        Means over the instances of each role, at rest.
+        Means over the instances of each role at rest, by role and name of reading.
     change_by_role : dict of str to dict
-        Means under changes, in the same terms.
+        The same means while configuration changes were made.
     changes_per_s : float
-        Rate of the changes.
+        Rate of the configuration changes.
     in_force_s : list of float
-        Time of each change until all instances had it in force.
+        For each change, seconds from its acceptance until all instances had it in
+        force.
     stall_s : float
-        Longest answer of an entry's health check while changes were made.
+        Longest response time of an entry's health check, in seconds, while changes
+        were made.
     """
 
     family: str
@@ -74,49 +81,62 @@
 
 
 class SlopeSite(Site):
-    """A site whose agents all stand before one back end."""
+    """A site whose agents all share one model engine process."""
 
-    __slots__ = ("_back_end_lock",)
+    __slots__ = ("_shared_engine_lock",)
 
     def __init__(self, *, plan):
         super().__init__(plan=plan)
-        self._back_end_lock = asyncio.Lock()
+        self._shared_engine_lock = asyncio.Lock()
 
     def _process(self, name, command):
         is_engine = name.endswith("-back-end") and "-model-" in name
         if not is_engine:
             return super()._process(name, command)
         command = standin_command("engine", name="shared")
-        return _SharedBackEnd(site=self, own=super()._process("shared", command))
+        return _SharedEngineHandle(
+            site=self, engine=super()._process("shared", command)
+        )
+
+    async def start_shared_engine(self, engine):
+        """Return the addresses of the shared engine, starting it if it does not run.
 
-    async def shared_back_end(self, own):
-        """Start the one back end if need be and return its addresses."""
-        async with self._back_end_lock:
+        Parameters
+        ----------
+        engine : SpawnedProcess
+            Process to start and to share if no engine runs yet.
+
+        Returns
+        -------
+        addresses : dict of str to str
+            `host:port` by name of listener.
+        """
+        async with self._shared_engine_lock:
             process = self.back_end_by_name.get("shared")
             if process is None:
-                await own.start()
-                process = self.back_end_by_name["shared"] = own
+                await engine.start()
+                process = self.back_end_by_name["shared"] = engine
         return process.addresses
 
 
-class _SharedBackEnd:
-    """Stands for the shared back end of one agent."""
+class _SharedEngineHandle:
+    """Handle of one agent on the shared engine, with the interface of a process."""
 
-    def __init__(self, *, site, own):
+    def __init__(self, *, site, engine):
         self._site = site
-        self._own = own
+        self._engine = engine
         self.process = None
         self.addresses = {}
 
     async def start(self):
-        self.addresses = await self._site.shared_back_end(self._own)
+        self.addresses = await self._site.start_shared_engine(self._engine)
 
     async def kill(self):
         pass
 
 
 async def measure_idle():
-    """Return resident memory of idle interpreters with the libraries, by role.
+    """Return the usage of idle interpreters that have imported a binary, by role.
 
     Returns
     -------
@@ -142,17 +162,22 @@
     return usage_by_role
 
 
-async def measure_size(size, *, rest_s=REST_S, changes=CHANGES):
-    """Run one size and return what it gave.
+async def measure_size(size, *, rest_s=REST_DURATION_S, changes=CHANGE_COUNT):
+    """Start a site of one size and return its readings at rest and under changes.
 
     Parameters
     ----------
     size : Size
-        The size.
+        Size of the site.
     rest_s : float
-        How long to measure at rest.
+        Seconds to measure at rest.
     changes : int
-        Number of changes to make.
+        Number of configuration changes to make.
+
+    Returns
+    -------
+    result : SizeResult
+        Readings of the site's instances.
     """
     names = [f"dc{i}" for i in range(size.data_centres)]
     plan = SitePlan(
@@ -172,21 +197,21 @@
         clock = SystemClock()
         start = clock.monotonic()
         result.change_by_role = await usage_by_role(
-            site, _change(site, result, changes)
+            site, _measure_changes(site, result, changes)
         )
         result.changes_per_s = changes / (clock.monotonic() - start)
     return result
 
 
 async def usage_by_role(site, work):
-    """Do some work and return the mean usage of each role meanwhile.
+    """Await an operation and return the mean usage of each role during it.
 
     Parameters
     ----------
     site : Site
         A running site.
     work : awaitable
-        What to wait for.
+        Operation during which usage is measured.
 
     Returns
     -------
@@ -200,12 +225,19 @@
 
 
 async def usage_by_instance(site, work):
-    """Do some work and return the usage of each instance meanwhile.
+    """Await an operation and return the usage of each instance during it.
+
+    Parameters
+    ----------
+    site : Site
+        A running site.
+    work : awaitable
+        Operation during which usage is measured.
 
     Returns
     -------
     row_by_instance : dict of tuple to dict
-        By role and name.
+        Readings by name, for each pair of role and instance name.
     """
     clock = SystemClock()
     start = clock.monotonic()
@@ -217,7 +249,13 @@
 
 
 def mean_usage(rows):
-    """Return the mean of each reading over rows."""
+    """Return the mean of each reading over instances.
+
+    Parameters
+    ----------
+    rows : sequence of dict of str to float
+        Readings by name, one row for each instance; at least one.
+    """
     return {name: statistics.fmean(row[name] for row in rows) for name in rows[0]}
 
 
@@ -233,24 +271,24 @@
     return dict(zip(processes, readings, strict=True))
 
 
-async def _change(site, result, changes):
-    probe = asyncio.create_task(_probe(site, result))
+async def _measure_changes(site, result, changes):
+    probe = asyncio.create_task(_probe_health(site, result))
     clock = SystemClock()
     loop = asyncio.get_running_loop()
     context = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(1, mp_context=context) as operator:
         for i in range(changes):
             revision, accepted_at = await loop.run_in_executor(
-                operator, _change_one, site.platform_url, str(i)
+                operator, _make_change, site.platform_url, str(i)
             )
-            await _wait_in_force(site, revision, accepted_at + IN_FORCE_LIMIT_S)
+            await _wait_in_force(site, revision, accepted_at + IN_FORCE_TIMEOUT_S)
             result.in_force_s.append(clock.monotonic() - accepted_at)
             await asyncio.sleep(CHANGE_PAUSE_S)
     probe.cancel()
 
 
-def _change_one(store_url, value):
-    # In a process of its own, so that its work does not hold up the probe.
+def _make_change(store_url, value):
+    # Runs in a separate process, so that its work does not delay the probe.
     async def change():
         async with aiohttp.ClientSession() as session:
             store = HttpStore(url=store_url, session=session)
@@ -267,22 +305,23 @@
     return asyncio.run(change())
 
 
-async def _wait_in_force(site, revision, limit):
+async def _wait_in_force(site, revision, deadline):
     clock = SystemClock()
-    behind = [*site.entry_by_name.values(), *site.agent_by_name.values()]
-    # The instance that is asked last is the one that was behind the longest.
-    while behind and clock.monotonic() < limit:
-        process = behind[-1]
+    pending = [*site.entry_by_name.values(), *site.agent_by_name.values()]
+    # Polls one instance until it has the revision in force, then the next, so the last
+    # response comes after the slowest instance has the revision in force.
+    while pending and clock.monotonic() < deadline:
+        process = pending[-1]
         url = f"http://{process.addresses['admin']}/metrics"
         async with site.session.get(url) as response:
             text = await response.text()
         if f"\nmagnoliagrade_configuration_revision {revision}.0" in text:
-            behind.pop()
+            pending.pop()
         else:
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
 
-async def _probe(site, result):
+async def _probe_health(site, result):
     process = next(iter(site.entry_by_name.values()))
     url = f"http://{process.addresses['admin']}/healthz"
     clock = SystemClock()
@@ -291,4 +330,4 @@
         async with site.session.get(url) as response:
             await response.read()
         result.stall_s = max(result.stall_s, clock.monotonic() - start)
-        await asyncio.sleep(POLL_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/slopes/processes.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/slopes/processes.py
@@ -1,4 +1,4 @@
-"""What the operating system and a process's own metrics say of it."""
+"""Readings of a process from the operating system and from its own metrics."""
 
 from dataclasses import dataclass
 
@@ -12,13 +12,14 @@
     Parameters
     ----------
     cpu_s : float
-        Processor time since its start, user and system.
+        User and system processor time in seconds since the start of the process.
     rss_mb : float
-        Resident memory.
+        Resident set size in MB.
     pss_mb : float
-        Resident memory, with shared pages divided among their users.
+        Proportional set size in MB: each shared page is divided by the number of
+        processes that map it.
     value_by_metric : dict of str to float
-        Metrics without labels; those with labels are summed.
+        Values of metrics by name, summed over their labels.
     """
 
     cpu_s: float
@@ -33,11 +34,16 @@
     Parameters
     ----------
     process_id : int
-        Id of the process.
+        Process id.
     session : aiohttp.ClientSession
-        Session to read its metrics with.
+        Session to read the metrics with; not used without an address.
     admin_address : str
-        `host:port` of its admin listener; empty reads no metrics.
+        `host:port` of the admin listener of the process; empty reads no metrics.
+
+    Returns
+    -------
+    reading : ProcessReading
+        Without metrics, its processor time is 0.
     """
     value_by_metric = {}
     if admin_address:
@@ -53,19 +59,19 @@
 
 
 def usage_between(first, last, seconds):
-    """Return what a process used a second between two readings.
+    """Return the rates of usage of a process between two readings.
 
     Parameters
     ----------
     first, last : ProcessReading
-        Readings.
+        Readings of the same process.
     seconds : float
-        Time between them.
+        Time between the readings.
 
     Returns
     -------
     value_by_name : dict of str to float
-        Rates by name, and the memory of the last reading.
+        Rates per second by name, and the links and memory of the last reading.
     """
 
     def rate(metric):
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/slopes/restart.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/slopes/restart.py
@@ -1,4 +1,4 @@
-"""What the restart of an entry costs it and the instances around it."""
+"""Cost of the restart of an entry, to itself and to the other instances."""
 
 import asyncio
 from dataclasses import dataclass
@@ -16,34 +16,41 @@
 
 __all__ = ["RESTART_ENTRIES", "RestartCost", "measure_restart"]
 
+# Numbers of entries in the data centre that a restart is measured at.
 RESTART_ENTRIES = (3, 7, 20)
 AGENTS = 5
 ORGANISATIONS = 6800
-AFTER_S = 5.0
-POLL_S = 0.05
-READY_LIMIT_S = 30.0
+# Time over which usage is measured at rest, and again after the entry is ready.
+OBSERVATION_S = 5.0
+# Interval between polls of the readiness check.
+POLL_INTERVAL_S = 0.05
+# Time after which readiness is no longer waited for.
+READY_TIMEOUT_S = 30.0
 
 
 @dataclass(slots=True, kw_only=True)
 class RestartCost:
-    """What one restart cost.
+    """Cost of one restart.
 
     Parameters
     ----------
     links : float
         Links of the restarted entry.
     ready_s : float
-        Time from the start of the process until it was ready.
+        Seconds from the start of the process until it was ready.
     messages : float
-        Control messages that it sent and received in the first seconds.
+        Control messages that the entry sent and received from its start until the
+        end of the measurement, `OBSERVATION_S` after it was ready.
     kilobytes_in, kilobytes_out : float
-        Their bytes.
+        Size of these messages in kB, received and sent.
     store_calls : float
-        Its calls to the store.
+        Calls of the entry to the store in the same time.
     cpu_s : float
-        Its processor time, the start of the interpreter included.
+        Processor time of the entry in seconds, including the start of the
+        interpreter.
     peer_messages : float
-        Messages that each other instance sent and received above its rate at rest.
+        Messages that another instance sent and received beyond its rate at rest,
+        as a mean over the other instances.
     """
 
     links: float
@@ -57,12 +64,17 @@
 
 
 async def measure_restart(*, entries):
-    """Kill one entry, start it again and return what that cost.
+    """Kill one entry, start it again and return the cost of the restart.
 
     Parameters
     ----------
     entries : int
-        Entries of the one data centre.
+        Number of entries in the only data centre.
+
+    Returns
+    -------
+    cost : RestartCost
+        Cost to the restarted entry and to the other instances.
     """
     size = Size(family="restart", value=entries, organisations=ORGANISATIONS)
     plan = SitePlan(
@@ -72,37 +84,44 @@
     )
     async with SlopeSite(plan=plan) as site:
         await asyncio.sleep(SETTLE_S)
-        rest = await usage_by_instance(site, asyncio.sleep(AFTER_S))
-        # The restarted entry is left out: its counters begin anew.
+        at_rest = await usage_by_instance(site, asyncio.sleep(OBSERVATION_S))
+        # Excludes the restarted entry, because its counters start again at zero.
         name, process = site.entry_by_name.popitem()
         ready = {}
-        busy = await usage_by_instance(site, _restart(site, name, process, ready))
+        during_restart = await usage_by_instance(
+            site, _restart(site, name, process, ready)
+        )
         address = process.addresses["admin"]
         reading = await read_process(process.process.pid, site.session, address)
         site.entry_by_name[name] = process
-    return _cost(reading, ready["s"], ready["window_s"], rest, busy)
+    return _restart_cost(
+        reading, ready["s"], ready["window_s"], at_rest, during_restart
+    )
 
 
 async def _restart(site, name, process, ready):
     clock = SystemClock()
-    begun = clock.monotonic()
+    kill_started_at = clock.monotonic()
     await process.kill()
     start = clock.monotonic()
     await site.start_listed(process, "entry")
     url = f"http://{process.addresses['admin']}/readyz"
-    while clock.monotonic() - start < READY_LIMIT_S:
+    while clock.monotonic() - start < READY_TIMEOUT_S:
         async with site.session.get(url) as response:
             if response.status == 200:
                 break
-        await asyncio.sleep(POLL_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
     ready["s"] = clock.monotonic() - start
-    await asyncio.sleep(AFTER_S)
-    ready["window_s"] = clock.monotonic() - begun
+    await asyncio.sleep(OBSERVATION_S)
+    ready["window_s"] = clock.monotonic() - kill_started_at
 
 
-def _cost(reading, ready_s, window_s, rest, busy):
+def _restart_cost(reading, ready_s, window_s, at_rest, during_restart):
     value = reading.value_by_metric
-    more = [(_messages(busy[key]) - _messages(rest[key])) * window_s for key in busy]
+    extra_messages = [
+        (_messages(during_restart[key]) - _messages(at_rest[key])) * window_s
+        for key in during_restart
+    ]
     return RestartCost(
         links=value["magnoliagrade_links"],
         ready_s=ready_s,
@@ -112,7 +131,7 @@
         kilobytes_out=value["magnoliagrade_link_bytes_out"] / 1000,
         store_calls=value["magnoliagrade_store_calls_total"],
         cpu_s=reading.cpu_s,
-        peer_messages=sum(more) / len(more),
+        peer_messages=sum(extra_messages) / len(extra_messages),
     )
 
 
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/slopes/sizes.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/slopes/sizes.py
@@ -1,4 +1,4 @@
-"""The sizes that slopes are measured at."""
+"""Site sizes at which the cost of control is measured."""
 
 from dataclasses import dataclass
 
@@ -9,14 +9,14 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Size:
-    """One site to be measured.
+    """Size of one site to be measured.
 
     Parameters
     ----------
     family : str
-        What is varied.
+        Dimension of size that is varied.
     value : int
-        Its value.
+        Size in that dimension.
     data_centres : int
         Number of data centres.
     entries : int
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/slopes/watch_simulation.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/slopes/watch_simulation.py
@@ -1,4 +1,4 @@
-"""The entries' own watch code over one store in memory, to count its calls."""
+"""Simulation of entries that watch one in-memory store, to count its calls."""
 
 import asyncio
 import random
@@ -17,7 +17,7 @@
 
 
 class WatchSimulation:
-    """Entries that only watch and propagate the configuration.
+    """Entries that run only the code to watch and propagate the configuration.
 
     Parameters
     ----------
@@ -26,9 +26,9 @@
     data_centres : int
         Number of data centres.
     entries : int
-        Entries in each.
+        Entries in each data centre.
     seed : int
-        Seed of all jitter.
+        Seed of the random number generators that jitter is drawn from.
     """
 
     __slots__ = ("_clock", "_tasks", "nodes", "repository", "store")
@@ -46,34 +46,47 @@
         self._link_all()
 
     async def start(self):
-        """Write a first configuration and start the watches."""
+        """Write the first configuration and start the watches of all entries."""
         await self.repository.apply("", author="trial")
         for node in self.nodes:
             self._tasks.append(asyncio.create_task(watch_configuration(node)))
         await self._clock.advance(2)
 
     async def stop(self):
-        """End the watches."""
+        """Stop the watches of all entries."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         await asyncio.gather(*(node.tasks.stop() for node in self.nodes))
 
     async def change(self, value):
-        """Make a change as an operator does."""
+        """Change the configuration as an operator does.
+
+        Parameters
+        ----------
+        value : str
+            Value of the label that the change sets.
+        """
         change = SetLabels(kind="endpoint", name="e", value_by_label={"x": value})
         await self.repository.change(change, author="trial")
 
     async def store_calls_during(self, seconds):
-        """Let time pass and return how many calls the store got."""
-        before = sum(self.store.calls_by_purpose.values())
-        # Messages need passes of the loop, so time goes on in small steps.
+        """Advance the clock and return the number of calls that the store received.
+
+        Parameters
+        ----------
+        seconds : float
+            Time to advance by.
+        """
+        calls_before = sum(self.store.calls_by_purpose.values())
+        # Delivering a message takes iterations of the event loop, so the clock advances
+        # in small steps.
         for _ in range(round(seconds * 4)):
             await self._clock.advance(0.25)
-        return sum(self.store.calls_by_purpose.values()) - before
+        return sum(self.store.calls_by_purpose.values()) - calls_before
 
     def revisions(self):
-        """Return the revisions in force."""
+        """Return the set of configuration revisions that entries have in force."""
         return {node.configuration.revision for node in self.nodes}
 
     def _repository(self, seed):
@@ -96,12 +109,13 @@
         return node
 
     def _link_all(self):
-        # Every entry of a data centre, and one of each other data centre.
+        # Links each entry to all others of its data centre and to the first entry of
+        # each other data centre.
         for a in self.nodes:
             for b in self.nodes:
-                is_near = a.identity.data_centre == b.identity.data_centre
+                is_same_data_centre = a.identity.data_centre == b.identity.data_centre
                 is_first = b.identity.instance.endswith("-0")
-                if a is not b and (is_near or is_first):
+                if a is not b and (is_same_data_centre or is_first):
                     _link(a, b)
 
 
@@ -119,9 +133,9 @@
 
 class _MemoryLink:
     def __init__(self, own, other):
-        self._own = own
+        self._local = own
         self._other = other
-        self._back = None
+        self._reverse = None
         self.peer_instance = other.identity.instance
         self.peer_revision = 0
         self.hello = SimpleNamespace(
@@ -130,27 +144,27 @@
 
     def send(self, message):
         loop = asyncio.get_running_loop()
-        revision = self._own.configuration.revision
-        loop.create_task(self._back.deliver(message, revision))
+        revision = self._local.configuration.revision
+        loop.create_task(self._reverse.deliver(message, revision))
 
     async def drain(self):
         pass
 
     async def deliver(self, message, revision):
         self.peer_revision = revision
-        self._own.propagation.on_message(self)
+        self._local.propagation.on_message(self)
         if isinstance(message, ConfigurationPull):
-            await self._own.propagation.on_pull(self, message)
+            await self._local.propagation.on_pull(self, message)
         elif isinstance(message, ConfigurationOffer):
-            await self._own.propagation.on_offer(self, message)
+            await self._local.propagation.on_offer(self, message)
         elif isinstance(message, ConfigurationWatch):
-            self._own.duty.note(self.peer_instance, is_watching=message.is_watching)
+            self._local.duty.note(self.peer_instance, is_watching=message.is_watching)
 
 
 def _link(a, b):
     if b.identity.instance in a.links.by_instance:
         return
-    there, back = _MemoryLink(a, b), _MemoryLink(b, a)
-    there._back, back._back = back, there
-    a.links.by_instance[b.identity.instance] = there
-    b.links.by_instance[a.identity.instance] = back
+    forward, reverse = _MemoryLink(a, b), _MemoryLink(b, a)
+    forward._reverse, reverse._reverse = reverse, forward
+    a.links.by_instance[b.identity.instance] = forward
+    b.links.by_instance[a.identity.instance] = reverse
