--- a/packages/magnoliagrade-standins/magnoliagrade_standins/bench/__init__.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/bench/__init__.py
@@ -1,4 +1,4 @@
-"""Benchmark of the product's own cost: added latency and throughput."""
+"""Benchmark of the load balancer: added latency and throughput of its processes."""
 
 from magnoliagrade_standins.bench.command import bench_command
 from magnoliagrade_standins.bench.latency import AddedLatency, measure_latency
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/bench/command.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/bench/command.py
@@ -1,4 +1,4 @@
-"""The benchmark command."""
+"""Command that runs the benchmark and prints its tables."""
 
 import functools
 
@@ -19,16 +19,17 @@
 __all__ = ["bench_command"]
 
 DATA_CENTRE = "kamloops"
+# Entries that send requests to the measured agent.
 ENTRIES_BEFORE_AGENT = 3
-# Limits that no call of the benchmark reaches.
-UNLIMITED = CONFIGURATION.replace("cold_limit = 16", "cold_limit = 4096").replace(
-    "full_limit = 64", "full_limit = 4096"
-)
-LATENCY_HEAD = [
+# Configuration whose concurrency limits the benchmark does not reach.
+UNLIMITED_CONFIGURATION = CONFIGURATION.replace(
+    "cold_limit = 16", "cold_limit = 4096"
+).replace("full_limit = 64", "full_limit = 4096")
+LATENCY_TABLE_HEADER = [
     "| call | at | direct (ms) | through (ms) | added (ms) | ratio |",
     "|---|---|---|---|---|---|",
 ]
-THROUGHPUT_HEAD = [
+THROUGHPUT_TABLE_HEADER = [
     "| busiest process | requests/s | refused | processor per request (us) "
     "| processor in use |",
     "|---|---|---|---|---|",
@@ -36,25 +37,25 @@
 
 
 def bench_command(*, calls=1500, streams=60, duration_s=4.0, callers=24, seed=1):
-    """Measure the product's own cost and print it as Markdown tables.
+    """Measure added latency and throughput and print them as Markdown tables.
 
     Parameters
     ----------
     calls : int
-        Calls of a plain service over each way.
+        Calls of a plain service on each path, direct and through the load balancer.
     streams : int
-        Streamed completions over each way.
+        Streamed completions on each path.
     duration_s : float
-        Length of each throughput measurement.
+        Duration of each throughput measurement in seconds.
     callers : int
-        Calls in flight in throughput measurements.
+        Concurrent calls in throughput measurements.
     seed : int
-        Seed of the order of calls.
+        Seed of the random order of calls on the two paths.
     """
     rows = uvloop.run(_measure_latencies(calls, streams, seed))
-    print("\n".join([*LATENCY_HEAD, *rows, ""]), flush=True)
+    print("\n".join([*LATENCY_TABLE_HEADER, *rows, ""]), flush=True)
     rows = uvloop.run(_measure_throughputs(callers, duration_s))
-    print("\n".join([*THROUGHPUT_HEAD, *rows]), flush=True)
+    print("\n".join([*THROUGHPUT_TABLE_HEADER, *rows]), flush=True)
 
 
 async def _measure_latencies(calls, streams, seed):
@@ -62,7 +63,7 @@
     clock = SystemClock()
     async with Site(plan=plan) as site:
         entry = site.caller_url(f"{DATA_CENTRE}-entry-0")
-        call = await measure_latency(
+        service_call = await measure_latency(
             functools.partial(time_call, site.session, clock),
             name="service call",
             direct_url=f"{_back_end(site, 'service-0')}/stock",
@@ -71,13 +72,13 @@
             seed=seed,
         )
         stream = await _measure_streams(site, clock, entry, streams, seed)
-    return [line for added in (call, *stream) for line in added.lines()]
+    return [line for added in (service_call, *stream) for line in added.table_rows()]
 
 
 async def _measure_streams(site, clock, entry, count, seed):
     times_by_url = {}
 
-    async def timed(url):
+    async def time_url(url):
         times_by_url.setdefault(url, []).append(
             await time_stream(site.session, clock, url)
         )
@@ -86,15 +87,20 @@
     direct = f"{_back_end(site, 'model-0')}/v1/completions"
     through = f"{entry}/v1/completions"
     await measure_latency(
-        timed, name="", direct_url=direct, through_url=through, count=count, seed=seed
+        time_url,
+        name="",
+        direct_url=direct,
+        through_url=through,
+        count=count,
+        seed=seed,
     )
     return [
         AddedLatency(
             name=name,
-            direct=make_histogram(pick(times_by_url[direct])),
-            through=make_histogram(pick(times_by_url[through])),
+            direct=make_histogram(select_times(times_by_url[direct])),
+            through=make_histogram(select_times(times_by_url[through])),
         )
-        for name, pick in (
+        for name, select_times in (
             ("first token", lambda streams: [s[0] for s in streams]),
             ("between tokens", lambda streams: [t for s in streams for t in s[1:]]),
         )
@@ -114,7 +120,7 @@
             aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0)) as session,
         ):
             processes = {"entry": site.entry_by_name, "agent": site.agent_by_name}[name]
-            measured = await measure_throughput(
+            throughput = await measure_throughput(
                 session,
                 clock,
                 [f"{site.caller_url(n)}/orders/stock" for n in site.entry_by_name],
@@ -123,7 +129,7 @@
                 callers=callers,
                 duration_s=duration_s,
             )
-        rows.append(measured.line())
+        rows.append(throughput.table_row())
     return rows
 
 
@@ -133,7 +139,7 @@
         engines_by_data_centre={DATA_CENTRE: engines},
         services_by_data_centre={DATA_CENTRE: services},
         service_options={"service_s": 0},
-        configuration=UNLIMITED,
+        configuration=UNLIMITED_CONFIGURATION,
     )
 
 
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/bench/tests/test_bench.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/bench/tests/test_bench.py
@@ -8,16 +8,16 @@
 from magnoliagrade_standins.bench import measure_latency, measure_throughput
 
 
-def test_ways_are_interleaved_and_compared():
+def test_calls_on_both_paths_are_interleaved_and_compared():
     order = []
 
-    async def timed(url):
+    async def time_url(url):
         order.append(url)
         return [{"direct": 0.001, "through": 0.003}[url]]
 
     added = asyncio.run(
         measure_latency(
-            timed,
+            time_url,
             name="x",
             direct_url="direct",
             through_url="through",
@@ -29,23 +29,23 @@
     assert set(pairs) == {("direct", "through"), ("through", "direct")}
     assert round(added.ratio(99), 2) == 3.0
     assert round(added.difference_s(50), 4) == 0.002
-    assert added.lines()[0] == "| x | 50 % | 1.00 | 3.00 | 2.00 | 3.00 |"
+    assert added.table_rows()[0] == "| x | 50 % | 1.00 | 3.00 | 2.00 | 3.00 |"
 
 
-def test_throughput_counts_answers_and_processor_time():
+def test_throughput_counts_responses_by_status_and_processor_time():
     async def main():
-        async def answer(request):
+        async def respond(request):
             return web.Response(status=503 if request.path == "/busy" else 200)
 
         app = web.Application()
-        app.router.add_get("/{tail:.*}", answer)
+        app.router.add_get("/{tail:.*}", respond)
         runner = web.AppRunner(app)
         await runner.setup()
         await web.TCPSite(runner, "127.0.0.1", 0).start()
         host, port = runner.addresses[0]
         urls = [f"http://{host}:{port}/{path}" for path in ("free", "busy")]
         async with aiohttp.ClientSession() as session:
-            measured = await measure_throughput(
+            throughput = await measure_throughput(
                 session,
                 SystemClock(),
                 urls,
@@ -55,9 +55,9 @@
                 duration_s=0.3,
             )
         await runner.cleanup()
-        return measured
+        return throughput
 
-    measured = asyncio.run(main())
-    assert measured.answered and measured.refused
-    assert abs(measured.answered - measured.refused) <= 2
-    assert 0 < measured.processor_s < 3
+    throughput = asyncio.run(main())
+    assert throughput.succeeded and throughput.rejected
+    assert abs(throughput.succeeded - throughput.rejected) <= 2
+    assert 0 < throughput.processor_s < 3
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/bench/throughput.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/bench/throughput.py
@@ -1,4 +1,4 @@
-"""Requests a second and processor time of single processes."""
+"""Requests per second and processor time of processes under load."""
 
 import asyncio
 import os
@@ -7,94 +7,101 @@
 __all__ = ["Throughput", "measure_throughput", "processor_s"]
 
 HEADERS = {"Authorization": "Bearer key-0"}
-# Fields of /proc/PID/stat after the command: user and system time.
-USER_FIELD = 11
-SYSTEM_FIELD = 12
+# Indices in the fields of /proc/PID/stat that follow the command: user time and system
+# time, in clock ticks.
+USER_TIME_INDEX = 11
+SYSTEM_TIME_INDEX = 12
 
 
 @dataclass(slots=True, kw_only=True)
 class Throughput:
-    """What one or more processes bore for a while.
+    """Throughput and processor time of one or more processes.
 
     Parameters
     ----------
     name : str
-        What was measured.
+        Role of the measured processes.
     answered : int
-        Calls that were answered with 200.
+        Number of responses with status 200.
     refused : int
-        Calls that were not.
+        Number of responses with another status.
     duration_s : float
-        How long.
+        Duration of the measurement.
     processor_s : float
         Processor time that the measured processes took.
     processes : int
-        How many were measured.
+        Number of measured processes.
     """
 
     name: str
-    answered: int
-    refused: int
+    succeeded: int
+    rejected: int
     duration_s: float
     processor_s: float
     processes: int
 
     @property
-    def per_s(self):
-        """Calls answered a second."""
-        return self.answered / self.duration_s
+    def calls_per_s(self):
+        """Responses with status 200 per second."""
+        return self.succeeded / self.duration_s
 
-    def line(self):
+    def table_row(self):
         """Return the row of a Markdown table."""
-        each = self.processor_s / max(1, self.answered)
-        load = self.processor_s / self.duration_s / self.processes
+        processor_s_per_call = self.processor_s / max(1, self.succeeded)
+        utilisation = self.processor_s / self.duration_s / self.processes
         return (
-            f"| {self.name} | {self.per_s:.0f} | {self.refused} "
-            f"| {1e6 * each:.0f} | {load:.0%} |"
+            f"| {self.name} | {self.calls_per_s:.0f} | {self.rejected} "
+            f"| {1e6 * processor_s_per_call:.0f} | {utilisation:.0%} |"
         )
 
 
 async def measure_throughput(
     session, clock, urls, *, name, process_ids, callers, duration_s
 ):
-    """Call as fast as answers come and return what the processes bore.
+    """Call in a closed loop and return the throughput of the processes.
 
     Parameters
     ----------
     session : aiohttp.ClientSession
-        Session to use.
+        Session to call with.
     clock : Clock
         Source of time.
     urls : list of str
-        Called in turn.
+        URLs that each caller calls in turn.
     name : str
-        What is measured.
+        Role of the measured processes.
     process_ids : list of int
-        Processes whose time is counted.
+        Ids of the processes whose processor time is counted.
     callers : int
-        Calls in flight.
+        Number of concurrent callers; each sends its next call when the response to
+        the previous one is complete.
     duration_s : float
-        How long.
+        Time after which no further call is started.
+
+    Returns
+    -------
+    throughput : Throughput
+        Counts of responses and processor time.
     """
     counts = {True: 0, False: 0}
-    begun = clock.monotonic()
+    started_at = clock.monotonic()
     processor_before = processor_s(process_ids)
 
-    async def call_in_turn(first):
+    async def call_in_loop(first):
         number = first
-        while clock.monotonic() < begun + duration_s:
+        while clock.monotonic() < started_at + duration_s:
             url = urls[number % len(urls)]
             number += 1
             async with session.get(url, headers=HEADERS) as response:
                 await response.read()
             counts[response.status == 200] += 1
 
-    await asyncio.gather(*(call_in_turn(i) for i in range(callers)))
+    await asyncio.gather(*(call_in_loop(i) for i in range(callers)))
     return Throughput(
         name=name,
-        answered=counts[True],
-        refused=counts[False],
-        duration_s=clock.monotonic() - begun,
+        succeeded=counts[True],
+        rejected=counts[False],
+        duration_s=clock.monotonic() - started_at,
         processor_s=processor_s(process_ids) - processor_before,
         processes=len(process_ids),
     )
@@ -106,11 +113,11 @@
     Parameters
     ----------
     process_ids : list of int
-        Running processes.
+        Ids of running processes.
     """
     ticks = 0
     for number in process_ids:
         with open(f"/proc/{number}/stat", encoding="utf-8") as file:
             fields = file.read().rpartition(")")[2].split()
-        ticks += int(fields[USER_FIELD]) + int(fields[SYSTEM_FIELD])
+        ticks += int(fields[USER_TIME_INDEX]) + int(fields[SYSTEM_TIME_INDEX])
     return ticks / os.sysconf("SC_CLK_TCK")
