--- a/packages/magnoliagrade-standins/magnoliagrade_standins/demo/__init__.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/demo/__init__.py
@@ -1,4 +1,4 @@
-"""The main job on one machine: a site, a load on it, a report."""
+"""Demonstration on one machine: starts a site, puts a load on it and reports."""
 
 from magnoliagrade_standins.demo.command import demo_command
 from magnoliagrade_standins.demo.plan import DemoPlan
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/demo/command.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/demo/command.py
@@ -1,4 +1,4 @@
-"""The command of the main job."""
+"""Command that runs the demonstration and prints its report."""
 
 import asyncio
 import signal
@@ -13,54 +13,63 @@
 
 __all__ = ["demo_command"]
 
-# Fields of the load that come from the site.
-GIVEN = ("urls", "key_by_organisation")
+# Fields of `LoadPlan` that the site determines; they are not flags.
+NON_FLAG_FIELDS = ("urls", "key_by_organisation")
 EXIT_FAILED = 1
 EXIT_INTERRUPTED = 130
 DEFAULT_DURATION_S = 30.0
 
 
 def demo_command(*, hold=False, **fields):
-    """Run the main job, print its report and return the exit code.
+    """Run the demonstration, print its report and return the exit code.
 
     Parameters
     ----------
     hold : bool
-        Whether to keep the site up after the load.
+        Whether to keep the site running after the load, until interrupted.
     **fields
         Fields of `DemoPlan` and of `LoadPlan`.
 
     Returns
     -------
     code : int
-        0 if all promises were kept, 1 if not, 130 if it was interrupted; an
-        unknown flag exits with 2.
+        0 if all checks of the result passed, 1 if one failed, 130 if a signal
+        interrupted the run. An unknown flag exits with 2.
     """
-    sizes, load = split_flags(fields, DemoPlan, LoadPlan, without=GIVEN)
-    load.setdefault("duration_s", DEFAULT_DURATION_S)
+    plan_fields, load_fields = split_flags(
+        fields, DemoPlan, LoadPlan, without=NON_FLAG_FIELDS
+    )
+    load_fields.setdefault("duration_s", DEFAULT_DURATION_S)
     try:
-        result = uvloop.run(_until_signal(DemoPlan(**sizes), hold, load))
+        result = uvloop.run(
+            _run_until_signal(DemoPlan(**plan_fields), hold, load_fields)
+        )
     except asyncio.CancelledError:
-        _say("stopped; no process is left")
+        _print_status("interrupted; all processes have stopped")
         return EXIT_INTERRUPTED
     print(result_text(result))
     return 0 if result.is_clean else EXIT_FAILED
 
 
 def result_text(result):
-    """Return what a demonstration showed, for people.
+    """Return the report of a demonstration as readable text.
 
     Parameters
     ----------
     result : DemoResult
-        What was seen.
+        Result to report on.
+
+    Returns
+    -------
+    text : str
+        Lines of a label and its value.
     """
     peaks = sorted(result.peak_load_by_engine.values())
     lines = [
         result.report.as_text(),
-        f"services           {_shown(result.executions_by_service)} calls recorded",
+        f"services           {_listing(result.executions_by_service)} calls recorded",
         f"engines            {sum(result.falls_by_engine.values())} overloads; "
-        f"peak {peaks[-1]:.0%} of what the busiest bore"
+        f"peak load {peaks[-1]:.0%} of capacity"
         if peaks
         else "engines            none",
         f"skew               {_skew_text(result.skew)}",
@@ -79,17 +88,23 @@
     return skew.as_text()
 
 
-def _shown(count_by_name):
+def _listing(count_by_name):
     return ", ".join(f"{name} {count}" for name, count in count_by_name.items())
 
 
-async def _until_signal(plan, hold, load):
+async def _run_until_signal(plan, hold, load_fields):
     task = asyncio.current_task()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGINT, signal.SIGTERM, signal.SIGHUP):
-        loop.add_signal_handler(number, task.cancel)
-    return await run_demo(plan, say=_say, on_progress=print_progress, hold=hold, **load)
-
-
-def _say(line):
+    for signal_number in (signal.SIGINT, signal.SIGTERM, signal.SIGHUP):
+        loop.add_signal_handler(signal_number, task.cancel)
+    return await run_demo(
+        plan,
+        report_status=_print_status,
+        on_progress=print_progress,
+        hold=hold,
+        **load_fields,
+    )
+
+
+def _print_status(line):
     print(line, file=sys.stderr, flush=True)
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/demo/plan.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/demo/plan.py
@@ -1,4 +1,4 @@
-"""Sizes of a demonstration and the site that they make."""
+"""Sizes of a demonstration and the site of these sizes."""
 
 from dataclasses import dataclass
 
@@ -10,21 +10,22 @@
 
 @dataclass(slots=True, kw_only=True)
 class DemoPlan:
-    """Sizes of a demonstration; the defaults are those of the brief.
+    """Sizes of a demonstration.
 
     Parameters
     ----------
     data_centres : str or sequence of str
-        Names, separated by commas.
+        Names of the data centres; a string has them separated by commas.
     entries : int
         Entry instances over all data centres.
     engines : int
         Model endpoints over all data centres.
     ranks : int
-        How many of the model endpoints are ranks of one expert-parallel group in the
-        first data centre; 0 for none. A site with fewer model endpoints has none.
+        Number of model endpoints that are ranks of one expert-parallel group in the
+        first data centre; 0 for no group. A site with fewer model endpoints has no
+        group.
     drift : float
-        Seconds of the day of experts' popularity that pass in a second.
+        Simulated seconds of the daily drift of expert popularity per second.
     services : int
         Plain-service endpoints over all data centres.
 
@@ -43,12 +44,12 @@
 
     @property
     def group_ranks(self):
-        """Ranks of the group that the site has, or 0."""
+        """Number of ranks of the site's group, or 0 without a group."""
         return self.ranks if self.engines >= self.ranks else 0
 
     @property
     def process_count(self):
-        """Processes of the site."""
+        """Number of processes of the site, including the platform stand-in."""
         endpoints = self.engines + self.services
         single_engines = self.engines - self.group_ranks
         back_ends = single_engines + self.services + bool(self.group_ranks)
@@ -61,14 +62,14 @@
         if self.group_ranks:
             configuration += group_configuration(ranks=self.group_ranks)
         return SitePlan(
-            entries_by_data_centre=_spread(self.entries, names),
+            entries_by_data_centre=_distribute(self.entries, names),
             engines_by_data_centre=self._engines_by_data_centre(names),
-            services_by_data_centre=_spread(self.services, names),
+            services_by_data_centre=_distribute(self.services, names),
             configuration=configuration,
         )
 
     def make_site(self):
-        """Return the site, not started yet."""
+        """Return a site of these sizes that is not started yet."""
         if not self.group_ranks:
             return Site(plan=self.site_plan())
         return GroupSite(
@@ -84,13 +85,14 @@
         return list(self.data_centres)
 
     def _engines_by_data_centre(self, names):
-        # The group counts as the first data centre's part.
+        # With a group, the first data centre has no other model endpoints, unless it is
+        # the only one.
         single = self.engines - self.group_ranks
         if not self.group_ranks or len(names) == 1:
-            return _spread(single, names)
-        return {names[0]: 0, **_spread(single, names[1:])}
+            return _distribute(single, names)
+        return {names[0]: 0, **_distribute(single, names[1:])}
 
 
-def _spread(count, names):
-    whole, rest = divmod(count, len(names))
-    return {name: whole + (i < rest) for i, name in enumerate(names)}
+def _distribute(count, names):
+    quotient, remainder = divmod(count, len(names))
+    return {name: quotient + (i < remainder) for i, name in enumerate(names)}
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/demo/run.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/demo/run.py
@@ -1,4 +1,4 @@
-"""Running the demonstration: start, load, stop, report."""
+"""Run of a demonstration: starts a site, sends a load, stops the site and reports."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -16,22 +16,23 @@
 
 @dataclass(slots=True, kw_only=True)
 class DemoResult:
-    """What a demonstration showed.
+    """Result of a demonstration.
 
     Parameters
     ----------
     report : LoadReport
-        What callers saw, with verdicts on orders.
+        Outcomes at the callers, with verdicts on orders.
     executions_by_service : dict of str to int
-        Calls that each service recorded.
+        Number of calls that each service recorded.
     falls_by_engine : dict of str to int
-        How often each engine was given more than it bears and fell over.
+        Number of times that the load of each engine exceeded its capacity, so that
+        the engine restarted.
     peak_load_by_engine : dict of str to float
-        Greatest part of what each engine bore at the time.
+        Maximum load of each engine as a fraction of its capacity at the time.
     exit_codes : list of int
-        Of entries and agents, which were told to stop.
+        Exit codes of entries and agents, which are stopped by a signal.
     skew : SkewReport or None
-        Of the group's ranks, if the site has a group.
+        Skew of the group's ranks; None if the site has no group.
     """
 
     report: object
@@ -43,7 +44,7 @@
 
     @property
     def is_clean(self):
-        """Whether something was served and the records show no broken promise."""
+        """Whether requests were served and all checks of the records passed."""
         return (
             self.report.good > 0
             and self.report.orders.is_clean
@@ -54,43 +55,45 @@
         )
 
 
-async def run_demo(plan, *, say, on_progress=None, hold=False, **load_fields):
-    """Start a site, put a load on it, stop it and return what was seen.
+async def run_demo(plan, *, report_status, on_progress=None, hold=False, **load_fields):
+    """Start a site, put a load on it, stop it and return the result.
 
     Parameters
     ----------
     plan : DemoPlan
-        Sizes.
+        Sizes of the site.
     say : callable
-        Takes one line of text about what goes on.
+        Called with one line of text at each stage of the run.
     on_progress : callable, optional
-        Takes a `Progress` of the load each second.
+        Called with a `Progress` of the load each second.
     hold : bool
-        Whether to keep the site up after the load until cancelled.
+        Whether to keep the site running after the load until cancelled.
     **load_fields
         Fields of `LoadPlan`.
 
     Returns
     -------
     result : DemoResult
-        Counted from callers' outcomes and the stand-ins' records.
+        Counts from the callers' outcomes and from the records of the stand-ins.
     """
-    say(f"starting {plan.process_count} processes")
+    report_status(f"starting {plan.process_count} processes")
     async with plan.make_site() as site:
         for name in sorted(site.entry_by_name):
-            say(f"entry {name} {site.caller_url(name)}")
+            report_status(f"entry {name} {site.caller_url(name)}")
         urls = [site.caller_url(name) for name in sorted(site.entry_by_name)]
         load = LoadPlan(urls=urls, **load_fields)
-        say(f"sending {load.rate_per_s:g} requests/s for {load.duration_s:g} s")
+        report_status(
+            f"sending {load.rate_per_s:g} requests/s for {load.duration_s:g} s"
+        )
         try:
             outcomes, skew = await _load_and_watch(plan, site, load, on_progress)
             result = await _read_records(site, load, outcomes)
             result.skew = skew
             if hold:
-                say("the site stays up; Ctrl-C stops it")
+                report_status("the site keeps running; Ctrl-C stops it")
                 await asyncio.Event().wait()
         finally:
-            say("stopping")
+            report_status("stopping")
             exit_codes = await _stop(site)
         result.exit_codes = exit_codes
         return result
@@ -129,7 +132,7 @@
 
 
 def _back_end_urls(site):
-    # A process of ranks has an address for each of them.
+    # A process that runs several ranks has one listener for each rank.
     return {
         name if listener == "http" else f"{name} {listener}": f"http://{address}"
         for name, process in site.back_end_by_name.items()
@@ -143,7 +146,8 @@
 
 
 async def _stop(site):
-    # Entries first: they finish what they have in flight through the agents.
+    # Stops the entries first, because they complete their requests in flight through
+    # the agents.
     entries = [p.stop() for p in site.entry_by_name.values()]
     codes = await asyncio.gather(*entries)
     agents = [p.stop() for p in site.agent_by_name.values()]
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/demo/skew.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/demo/skew.py
@@ -1,4 +1,4 @@
-"""Skew of the ranks of a group while a load runs."""
+"""Skew of the step times of a group's ranks during a load."""
 
 import math
 from dataclasses import dataclass, field
@@ -10,25 +10,28 @@
 
 __all__ = ["SkewReport", "watch_skew"]
 
-INTERVAL_S = 1.0
+# Interval between two values of the skew.
+SAMPLE_INTERVAL_S = 1.0
 
 
 @dataclass(slots=True, kw_only=True)
 class SkewReport:
-    """Slowest over mean step time of a group's ranks, and the maps they used.
+    """Skew of a group's ranks, and the expert maps that the ranks used.
+
+    Skew is the step time of the slowest rank divided by the mean of all ranks.
 
     Parameters
     ----------
     values : list of float
-        Skew at regular times, from the group's own record.
+        Skew each second, as the group's process reports it.
     versions : int
-        Maps that came into use.
+        Number of versions of the expert map that ranks used.
     steps : int
-        Steps that all ranks completed.
+        Number of steps that all ranks completed.
     has_two_maps : bool
         Whether two ranks used different maps in one step.
     stall_s : float
-        Time in which no rank could step.
+        Time in seconds in which no rank could take a step.
     """
 
     values: list = field(default_factory=list)
@@ -38,7 +41,13 @@
     stall_s: float = 0.0
 
     async def read_maps(self, site):
-        """Take the maps of each step from the group's record."""
+        """Set the counts of maps and steps from the record of a site's group.
+
+        Parameters
+        ----------
+        site : GroupSite
+            A running site.
+        """
         record = await site.group_record()
         steps = [StepRecord(**row) for row in record["records"]]
         self.versions = len({step.version for step in steps})
@@ -47,27 +56,29 @@
         self.stall_s = record["stall_s"]
 
     def as_text(self):
-        """Return the report on one line."""
+        """Return the report as one line of text; there must be at least one value."""
         ordered = sorted(self.values)
-        at_95 = ordered[math.ceil(0.95 * len(ordered)) - 1]
+        percentile_95 = ordered[math.ceil(0.95 * len(ordered)) - 1]
         mean = sum(ordered) / len(ordered)
         maps = "two maps in one step!" if self.has_two_maps else "one map in each step"
         return (
-            f"mean {mean:.2f}, {at_95:.2f} at 95 % (slowest over mean rank); "
+            f"mean {mean:.2f}, {percentile_95:.2f} at 95 % (slowest over mean rank); "
             f"{self.steps} steps, {self.versions} maps, {maps}, "
             f"{self.stall_s:.2f} s stalled"
         )
 
 
 async def watch_skew(site, report):
-    """Add the skew of a site's group to a report until cancelled.
+    """Add the skew of a site's group to a report each second until cancelled.
+
+    Returns early if the group's process does not respond.
 
     Parameters
     ----------
     site : GroupSite
-        The site.
+        A running site.
     report : SkewReport
-        What takes the values.
+        Report that the values are added to.
     """
     clock = SystemClock()
     while True:
@@ -77,4 +88,4 @@
             return
         if any(pace["completed"]):
             report.values.append(pace["skew"])
-        await clock.sleep(INTERVAL_S)
+        await clock.sleep(SAMPLE_INTERVAL_S)
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/demo/tests/test_demo.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/demo/tests/test_demo.py
@@ -9,14 +9,19 @@
 from magnoliagrade_standins.demo.skew import SkewReport
 from magnoliagrade_standins.load import OrderVerdicts, summarise
 
-SMALL = ("--data_centres=vernon", "--entries=1", "--engines=1", "--services=1")
+SMALL_SITE_FLAGS = (
+    "--data_centres=vernon",
+    "--entries=1",
+    "--engines=1",
+    "--services=1",
+)
 STEP_TIMEOUT_S = 60
 
 
 async def _start(*flags):
     return await asyncio.create_subprocess_exec(
         sys.executable,
-        *("-m", "magnoliagrade_standins", "demo", *SMALL, *flags),
+        *("-m", "magnoliagrade_standins", "demo", *SMALL_SITE_FLAGS, *flags),
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.PIPE,
     )
@@ -34,7 +39,7 @@
     return found
 
 
-def test_report_of_a_short_run():
+def test_short_run_reports_orders_skew_and_progress():
     async def main():
         process = await _start("--engines=4", "--duration_s=3", "--rate_per_s=15")
         async with asyncio.timeout(STEP_TIMEOUT_S):
@@ -51,12 +56,12 @@
     asyncio.run(main())
 
 
-def test_site_without_a_group_says_so_and_counts_its_processes():
+def test_plan_counts_processes_and_report_states_a_missing_group():
     plan = DemoPlan(data_centres="vernon", entries=1, engines=1, services=1)
     assert (plan.group_ranks, plan.process_count) == (0, 6)
-    full = DemoPlan()
-    assert (full.group_ranks, full.process_count) == (4, 35)
-    site_plan = full.site_plan()
+    default_plan = DemoPlan()
+    assert (default_plan.group_ranks, default_plan.process_count) == (4, 35)
+    site_plan = default_plan.site_plan()
     assert site_plan.engines_by_data_centre == {
         "kamloops": 0,
         "kelowna": 4,
@@ -71,7 +76,7 @@
     assert "the site has no rank group" in result_text(result)
 
 
-def test_verdict_needs_good_answers_and_one_map_in_each_step():
+def test_result_is_clean_only_with_good_requests_and_one_map_in_each_step():
     result = DemoResult(
         report=summarise([], duration_s=1.0, orders=OrderVerdicts()),
         executions_by_service={},
@@ -91,7 +96,7 @@
         async with asyncio.timeout(STEP_TIMEOUT_S):
             url = None
             while b"s  sent" not in (line := await process.stderr.readline()):
-                assert line, "the run ended early"
+                assert line, "standard error ended before the load started"
                 if line.startswith(b"entry "):
                     url = line.split()[-1].decode()
             children = _children(process.pid)
@@ -105,6 +110,6 @@
             await asyncio.open_connection(host, int(port))
         except ConnectionRefusedError:
             return
-        raise AssertionError(f"{url} is still listened on")
+        raise AssertionError(f"{url} still accepts connections")
 
     asyncio.run(main())
