--- a/packages/magnoliagrade-standins/magnoliagrade_standins/balance/__init__.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/balance/__init__.py
@@ -1,4 +1,4 @@
-"""Comparison of rebalancing policies over a day of drifting popularity."""
+"""Comparison of rebalancing policies over a simulated day of expert popularity."""
 
 from magnoliagrade_standins.balance.command import balance_command
 from magnoliagrade_standins.balance.comparison import (
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/balance/command.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/balance/command.py
@@ -1,4 +1,4 @@
-"""The command that compares rebalancing policies."""
+"""Command that compares rebalancing policies over a simulated day."""
 
 import dataclasses
 import json
@@ -12,17 +12,18 @@
 __all__ = ["balance_command"]
 
 
-def balance_command(output="", **sizes):
-    """Print each policy's day; write figures and a plot if asked to.
+def balance_command(output="", **plan_fields):
+    """Simulate a day under each policy and print the results as JSON.
 
     Parameters
     ----------
     output : str
-        Prefix of the JSON file and the SVG plot; empty writes none.
+        Path without suffix of a JSON file and an SVG plot of the skew over the day;
+        empty writes neither.
     **sizes
         Fields of `BalancePlan`.
     """
-    plan = BalancePlan(**sizes)
+    plan = BalancePlan(**plan_fields)
     reports = []
     for name in rebalancing_policies.names():
         print(f"{name}: {plan.day_s / 3600:g} hours", file=sys.stderr)
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/balance/comparison.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/balance/comparison.py
@@ -1,4 +1,4 @@
-"""One day of a group under each rebalancing policy, on the same seed."""
+"""Simulated day of a group under each rebalancing policy, with the same seed."""
 
 from dataclasses import asdict, dataclass, field
 
@@ -21,38 +21,39 @@
 
 @dataclass(slots=True, kw_only=True)
 class BalancePlan:
-    """Sizes and rates of the comparison.
+    """Sizes and rates of the simulated group.
 
     Parameters
     ----------
     ranks, experts, layers, slots_per_rank : int
-        Sizes of the group.
+        Sizes of the group; a rank has `slots_per_rank` slots for experts in each layer.
     seed : int
-        Seed of popularity and noise.
+        Seed of the popularity and of the noise of reports.
     report_s : float
-        Seconds between reports of counts.
+        Seconds between reports of expert counts.
     interval_s : float
-        Seconds between plans.
+        Seconds between rebalancing plans.
     lag_reports : int
-        Reports that have not arrived yet when a plan is made.
+        Number of reports that have not arrived yet when a plan is made.
     lost_part : float
-        Part of the reports that never arrives.
+        Fraction of the reports that are lost.
     tokens_per_s : float
-        Tokens a second that the group counts in a report.
+        Tokens per second that a report counts.
     expert_bytes : int
-        Size of one expert of one layer.
+        Size in bytes of one expert of one layer.
     bytes_per_s : float
-        The group's part of the weight store's rate.
+        Rate at which the group loads experts from the weight store.
     half_life_s : float
-        Decay of the counts.
+        Half-life of the exponentially decaying counts.
     horizon_s : float
-        Horizon of the policy.
+        Time ahead over which the policy weighs the gain of a plan.
     slow_rank_from_s : float
-        When the last rank's accelerator turns slow; beyond the day for never.
+        Time from which the last rank's accelerator is slow; beyond the end of the
+        day for never.
     slow_speed : float
-        Its speed from then on.
+        Speed of the slow accelerator relative to a normal one.
     day_s : float
-        Length of the run.
+        Simulated time in seconds.
     """
 
     ranks: int = 8
@@ -76,24 +77,26 @@
 
 @dataclass(slots=True, kw_only=True)
 class DayReport:
-    """What a policy did over the day.
+    """Result of one policy over the day.
 
     Parameters
     ----------
     policy : str
         Name of the policy.
     mean_skew, skew_95 : float
-        Slowest over mean time of ranks in a step: mean and 95th percentile.
+        Skew, which is the time of the slowest rank in a step divided by the mean
+        time: mean and 95th percentile.
     relative_tokens_per_s : float
-        Tokens a second against a group without any skew.
+        Throughput relative to a group without skew.
     bytes_moved : int
         Bytes loaded from the weight store.
     load_s : float
-        Seconds in which the group loaded experts, in the background.
+        Seconds in which the group loaded experts, in parallel to its steps.
     plans_made, plans_carried_out : int
-        Plans that the policy weighed, and changes of the map.
+        Number of times that the policy was asked for a plan, and number of plans
+        that changed the expert map.
     skews : list of float
-        Skew in each interval of reports.
+        Skew in each interval between reports.
     """
 
     policy: str
@@ -114,20 +117,25 @@
 
 
 def compare(plan, names=None):
-    """Return the day's report of each policy.
+    """Simulate the day under each policy and return the reports.
 
     Parameters
     ----------
     plan : BalancePlan
         Sizes, rates and seed.
     names : sequence of str, optional
-        Policies; all by default.
+        Names of policies; all registered policies by default.
+
+    Returns
+    -------
+    reports : list of DayReport
+        One report for each policy.
     """
     return [run_day(plan, name) for name in names or rebalancing_policies.names()]
 
 
 def run_day(plan, name):
-    """Return the report of one policy.
+    """Simulate the day under one policy and return its report.
 
     Parameters
     ----------
@@ -139,7 +147,7 @@
     Returns
     -------
     report : DayReport
-        Skew is taken from the true popularity, the policy sees only reports.
+        Skew under the true popularity; the policy sees only the reported counts.
     """
     return _Day(plan, name).run()
 
@@ -154,7 +162,7 @@
             layers=plan.layers, experts=plan.experts, rng=rng
         )
         self.noise = np.random.default_rng(plan.seed + 1)
-        self.holds = initial_placement(
+        self.placement = initial_placement(
             layers=plan.layers,
             ranks=plan.ranks,
             experts=plan.experts,
@@ -164,29 +172,31 @@
             layers=plan.layers, experts=plan.experts, half_life_s=plan.half_life_s
         )
         self.estimator = SpeedEstimator(ranks=plan.ranks)
-        self.late = []
-        self.loading = None
+        self.reports_in_transit = []
+        self.plan_in_progress = None
 
     def run(self):
         plan = self.plan
-        ideal, spent = 0.0, 0.0
+        ideal_time, actual_time = 0.0, 0.0
         for number in range(1, int(plan.day_s / plan.report_s) + 1):
             now = number * plan.report_s
-            self._finish_loading(now)
+            self._finish_plan(now)
             times = self._true_times(now)
             self.report.skews.append(skew(times))
-            ideal += float(times.mean(axis=1).sum())
-            spent += step_time(times)
-            self._take_reports(number, now, times)
+            ideal_time += float(times.mean(axis=1).sum())
+            actual_time += step_time(times)
+            self._make_report(number, now, times)
             if now % plan.interval_s == 0:
                 self._plan(now)
         self.report.mean_skew = float(np.mean(self.report.skews))
         self.report.skew_95 = float(np.percentile(self.report.skews, 95))
-        self.report.relative_tokens_per_s = ideal / spent
+        self.report.relative_tokens_per_s = ideal_time / actual_time
         return self.report
 
     def _true_times(self, now):
-        return rank_times(self.holds, self.popularity.shares_at(now), self._speeds(now))
+        return rank_times(
+            self.placement, self.popularity.shares_at(now), self._speeds(now)
+        )
 
     def _speeds(self, now):
         speeds = np.ones(self.plan.ranks)
@@ -194,18 +204,18 @@
             speeds[-1] = self.plan.slow_speed
         return speeds
 
-    def _take_reports(self, number, now, times):
+    def _make_report(self, number, now, times):
         plan = self.plan
         expected = self.popularity.shares_at(now) * plan.tokens_per_s * plan.report_s
         counts = self.noise.poisson(expected)
         is_lost = self.noise.random() < plan.lost_part
         work = times.sum(axis=0) * (1 + 0.02 * self.noise.normal(size=plan.ranks))
         if not is_lost:
-            self.late.append((number, counts, work, self.holds))
-        while len(self.late) > plan.lag_reports:
-            self._take(*self.late.pop(0), now)
+            self.reports_in_transit.append((number, counts, work, self.placement))
+        while len(self.reports_in_transit) > plan.lag_reports:
+            self._receive_report(*self.reports_in_transit.pop(0), now)
 
-    def _take(self, number, counts, work, holds, now):
+    def _receive_report(self, number, counts, work, placement, now):
         self.counter.add(
             counts,
             rank=0,
@@ -213,16 +223,16 @@
             interval_s=self.plan.report_s,
             now=now,
         )
-        loads = rank_times(holds, counts, np.ones(self.plan.ranks)).sum(axis=0)
+        loads = rank_times(placement, counts, np.ones(self.plan.ranks)).sum(axis=0)
         for rank in range(self.plan.ranks):
             self.estimator.add(rank, seconds=work[rank], load=loads[rank])
 
     def _plan(self, now):
-        if self.loading is not None or not self.counter.has_counts:
+        if self.plan_in_progress is not None or not self.counter.has_counts:
             return
         plan = self.plan
-        situation = RebalancingInput(
-            placement=self.holds,
+        rebalancing_input = RebalancingInput(
+            placement=self.placement,
             rates=self.counter.rates(),
             speeds=self.estimator.speeds(),
             slots=plan.slots_per_rank,
@@ -231,17 +241,17 @@
             budget_bytes=plan.bytes_per_s * plan.interval_s,
             horizon_s=plan.horizon_s,
         )
-        made = self.policy.plan(situation)
+        rebalancing_plan = self.policy.plan(rebalancing_input)
         self.report.plans_made += 1
-        if made is None:
+        if rebalancing_plan is None:
             return
-        load_s = made.transfers * plan.expert_bytes / plan.bytes_per_s
-        self.loading = (now + load_s, made)
+        load_s = rebalancing_plan.transfers * plan.expert_bytes / plan.bytes_per_s
+        self.plan_in_progress = (now + load_s, rebalancing_plan)
         self.report.load_s += load_s
-        self.report.bytes_moved += made.transfers * plan.expert_bytes
+        self.report.bytes_moved += rebalancing_plan.transfers * plan.expert_bytes
 
-    def _finish_loading(self, now):
-        if self.loading is not None and now >= self.loading[0]:
-            self.holds = self.loading[1].placement
+    def _finish_plan(self, now):
+        if self.plan_in_progress is not None and now >= self.plan_in_progress[0]:
+            self.placement = self.plan_in_progress[1].placement
             self.report.plans_carried_out += 1
-            self.loading = None
+            self.plan_in_progress = None
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/balance/drift.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/balance/drift.py
@@ -1,4 +1,4 @@
-"""Popularity of experts that drifts through the day, jumps, differs by layer."""
+"""Simulated popularity of experts, which drifts and jumps during a day."""
 
 import numpy as np
 
@@ -8,33 +8,37 @@
 
 
 class DriftingPopularity:
-    """Part of the tokens that each expert of each layer gets over a day.
+    """Share of the tokens that each expert of each layer receives, over a day.
+
+    The logarithm of each popularity follows a sine with a period of one day.
 
     Parameters
     ----------
     layers, experts : int
-        Sizes.
+        Number of layers, and of experts in each.
     rng : numpy.random.Generator
-        Source of chance.
+        Random number generator.
     spread : float
-        Standard deviation of the logarithm of popularity.
+        Factor of the logarithm of popularity: the standard deviation of its constant
+        part and of its daily amplitude.
     jumps : int
-        Times of the day at which a tenth of the experts changes places.
+        Number of random times of the day at which a tenth of the experts, but at
+        least two, exchange their popularity.
     """
 
-    __slots__ = ("_base", "_jumps", "_phase", "_spread", "_swing")
+    __slots__ = ("_base", "_jumps", "_phase", "_spread", "_amplitude")
 
     def __init__(self, *, layers, experts, rng, spread=0.6, jumps=8):
         shape = (layers, experts)
         self._spread = spread
         self._base = rng.normal(size=shape)
-        self._swing = rng.normal(size=shape)
+        self._amplitude = rng.normal(size=shape)
         self._phase = rng.uniform(0, 2 * np.pi, size=shape)
         times = np.sort(rng.uniform(0, DAY_S, size=jumps))
-        self._jumps = [(at, _exchange(rng, experts)) for at in times]
+        self._jumps = [(at, _exchange_order(rng, experts)) for at in times]
 
     def shares_at(self, seconds):
-        """Return the popularity at a time of the day.
+        """Return the share of tokens of each expert at a time of the day.
 
         Parameters
         ----------
@@ -44,10 +48,10 @@
         Returns
         -------
         popularity : ndarray of shape (layers, experts)
-            Rows sum to one.
+            Shares; each row sums to one.
         """
         angle = 2 * np.pi * seconds / DAY_S + self._phase
-        level = self._base + self._swing * np.sin(angle)
+        level = self._base + self._amplitude * np.sin(angle)
         for at, order in self._jumps:
             if seconds >= at:
                 level = level[:, order]
@@ -55,7 +59,7 @@
         return weights / weights.sum(axis=1, keepdims=True)
 
 
-def _exchange(rng, experts):
+def _exchange_order(rng, experts):
     chosen = rng.choice(experts, size=max(2, experts // 10), replace=False)
     order = np.arange(experts)
     order[chosen] = np.roll(chosen, 1)
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/balance/plot.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/balance/plot.py
@@ -1,4 +1,4 @@
-"""Plot of skew over the day."""
+"""Plot of the skew of rebalancing policies over the day."""
 
 __all__ = ["plot_days"]
 
@@ -9,13 +9,14 @@
     Parameters
     ----------
     reports : sequence of DayReport
-        One for each policy.
+        One report for each policy.
     report_s : float
-        Seconds between the values of a report.
+        Seconds between two values of skew in a report.
     path : str
-        File to write; its suffix gives the format.
+        File to write; its suffix selects the format.
     """
-    # Imported here, because it takes a second that other commands would pay.
+    # Imported here, because the import takes about a second, which would delay every
+    # other command.
     from matplotlib.figure import Figure
 
     figure = Figure(figsize=(8, 4))
