--- a/packages/magnoliagrade-standins/magnoliagrade_standins/__init__.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins of the served systems and of the platform, for tests and trials."""
+"""Stand-ins for back ends and for the operators' platform, and tools to test with."""
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/__main__.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/__main__.py
@@ -1,4 +1,4 @@
-"""Run one stand-in as a process: `python -m magnoliagrade_standins NAME`."""
+"""Run a stand-in or a tool as a process: `python -m magnoliagrade_standins NAME`."""
 
 import asyncio
 import sys
@@ -41,17 +41,17 @@
 
 
 class StandIns:
-    """Stand-ins of the platform and of back ends; each runs until SIGTERM."""
+    """Stand-ins of platform and back ends, which run until SIGTERM, and tools."""
 
     def platform(self, address=LOOPBACK, lag_s=0.0):
         """Serve the key-value service and the list of instances."""
 
-        def make():
+        def make_app():
             clock = SystemClock()
             listing = ListedInstances(clock=clock, lag_s=lag_s)
             return make_platform_app(store=MemoryStore(clock=clock), listing=listing)
 
-        _serve(make, address)
+        _serve(make_app, address)
 
     @has_further_flags(BalancePlan)
     def balance(self, output="", **sizes):
@@ -60,24 +60,24 @@
 
     @has_further_flags(ExplorationPlan)
     def explore(self, **bounds):
-        """Explore the switch of a group's map; exits with 1 if it finds a fault."""
+        """Explore switches of a group's expert map; exits with 1 on a fault."""
         sys.exit(explore_command(**bounds))
 
     @has_further_flags(bench_command)
     def bench(self, **options):
-        """Measure the added latency and the throughput of entry and agent."""
+        """Measure the added latency and the throughput of an entry and an agent."""
         bench_command(**options)
 
     @has_further_flags(DemoPlan, LoadPlan)
     def demo(self, hold=False, **sizes):
-        """Run the main job: a site, a load, a report; Ctrl-C stops it."""
+        """Start a site, put a load on it and print a report; Ctrl-C stops all."""
         sys.exit(demo_command(hold=hold, **sizes))
 
     @has_further_flags(EngineProfile)
     def engine(self, address=LOOPBACK, name="engine", **profile):
-        """Serve a model engine; further flags are fields of its profile."""
+        """Serve a model engine; the other flags are fields of its profile."""
 
-        def make():
+        def make_app():
             engine = Engine(
                 profile=EngineProfile(**profile), clock=SystemClock(), name=name
             )
@@ -85,11 +85,11 @@
             app.on_startup.append(_start_engine(engine))
             return app
 
-        _serve(make, address)
+        _serve(make_app, address)
 
     @has_further_flags(LoadPlan)
     def load(self, urls, records="", json_path="", plot_path="", **plan):
-        """Put a load on entries; further flags are fields of its plan."""
+        """Put a load on running entries; the other flags are fields of its plan."""
         paths = {"json_path": json_path, "plot_path": plot_path}
         sys.exit(load_command(urls, records=records, **paths, **plan))
 
@@ -98,14 +98,15 @@
         _serve(lambda: make_proxy_app(FaultProxy(clock=SystemClock())), address)
 
     def pages(self, folder="docs"):
-        """Write the pages of the documentation that are made from code."""
-        # Imports both binaries, which stand-ins need not wait for.
+        """Write the pages of the documentation that are generated from code."""
+        # Imported here, because it imports both binaries, which would delay the start
+        # of every stand-in.
         from magnoliagrade_standins.pages import write_pages
 
         write_pages(folder)
 
     def trace(self, *files):
-        """Print the traces in files that processes wrote as trees."""
+        """Print the traces in log files of processes as trees."""
         spans = []
         for file in files:
             with open(file, encoding="utf-8") as lines:
@@ -114,63 +115,63 @@
 
     @has_further_flags(find=trial_functions)
     def trial(self, name, seed=1, json=False, **options):
-        """Run a trial; exit code 1 if one of its checks failed."""
+        """Run a trial; exits with 1 if one of its checks fails."""
         if not run_trial(name, seed=seed, as_json=json, **options).passed:
             sys.exit(1)
 
     @has_further_flags(SoakPlan)
     def soak(self, seeds=1, seed=1, regressions=False, **sizes):
-        """Strike direct entries with random faults; 1 if a promise is broken."""
+        """Inject random faults into direct entries; exits with 1 if a check fails."""
         plans = {"seeds": seeds, "seed": seed, "regressions": regressions}
         sys.exit(soak_command(**plans, **sizes))
 
     @has_further_flags(slopes_command)
     def slopes(self, families="", json_path="", plot_path="", **durations):
-        """Measure what control costs at several sizes and what it would at fleet."""
+        """Measure the cost of control at several sizes and extrapolate to a fleet."""
         paths = {"json_path": json_path, "plot_path": plot_path}
         sys.exit(slopes_command(families=families, **paths, **durations))
 
     @has_further_flags(GroupProfile)
     def ranks(self, address=LOOPBACK, weights_url="", **profile):
-        """Serve a group of ranks in lock-step, each on a port of its own."""
+        """Serve a group of ranks that run in lock-step, each on its own port."""
         ranks_command(address, weights_url=weights_url, **profile)
 
     def weights(self, address=LOOPBACK, bytes_per_s=1e9):
         """Serve a rate-limited weight store."""
 
-        def make():
+        def make_app():
             clock = SystemClock()
             store = WeightStore(clock=clock, bytes_per_s=bytes_per_s)
             return make_weights_app(store, clock)
 
-        _serve(make, address)
+        _serve(make_app, address)
 
     def service(self, address=LOOPBACK, service_s=0.005):
         """Serve a plain service."""
 
-        def make():
+        def make_app():
             service = PlainService(
                 clock=SystemClock(), service_s=service_s, journal=sys.stderr
             )
             return make_service_app(service)
 
-        _serve(make, address)
+        _serve(make_app, address)
 
 
 def _start_engine(engine):
     async def on_startup(app):
-        # The application keeps the task referenced while it runs.
+        # The application holds a reference, so that the task is not garbage-collected.
         app["engine_task"] = asyncio.create_task(engine.run())
 
     return on_startup
 
 
-def _serve(make, address):
+def _serve(make_app, address):
     runners = []
 
     async def start():
         runner, bound = await start_site(
-            make(), address, shutdown_timeout=0.1, handler_cancellation=True
+            make_app(), address, shutdown_timeout=0.1, handler_cancellation=True
         )
         runners.append(runner)
         announce_ready(http=bound)
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/flags.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/flags.py
@@ -1,4 +1,4 @@
-"""Flags of commands that are fields of plans."""
+"""Command-line flags that set the fields of plans."""
 
 import dataclasses
 import sys
@@ -9,21 +9,24 @@
 
 
 def split_flags(flags, *classes, without=()):
-    """Return the flags of each class of plan; exit if one belongs to none.
+    """Return the flags that belong to each class of plan.
+
+    Prints the known flags and exits with `EXIT_UNKNOWN_FLAG` if a flag belongs to no
+    class.
 
     Parameters
     ----------
     flags : dict of str to object
-        Flags as they were given.
+        Values of flags by name.
     *classes : type
-        Dataclasses.
+        Dataclasses of plans.
     without : sequence of str
-        Fields that are no flags of this command.
+        Names of fields that are not flags of this command.
 
     Returns
     -------
     flags_by_class : list of dict of str to object
-        In the order of the classes.
+        One dictionary for each class, in the order of the classes.
 
     Examples
     --------
@@ -39,8 +42,8 @@
     known = {name for names in names_by_class.values() for name in names}
     unknown = sorted(set(flags) - known)
     if unknown:
-        shown = ", ".join(f"--{name}" for name in sorted(known))
-        print(f"unknown flag --{unknown[0]}; known: {shown}", file=sys.stderr)
+        known_flags = ", ".join(f"--{name}" for name in sorted(known))
+        print(f"unknown flag --{unknown[0]}; known: {known_flags}", file=sys.stderr)
         sys.exit(EXIT_UNKNOWN_FLAG)
     return [
         {name: value for name, value in flags.items() if name in names}
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/traces.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/traces.py
@@ -1,4 +1,4 @@
-"""Assembling traces from the JSON lines that processes write."""
+"""Assembly of traces from the JSON lines that processes write."""
 
 import json
 from dataclasses import dataclass, field
@@ -6,30 +6,30 @@
 
 __all__ = ["Span", "assemble_traces", "read_spans", "trace_lines"]
 
-SHOWN_PREFIX = "magnoliagrade."
+ATTRIBUTE_PREFIX = "magnoliagrade."
 NO_PARENT = ""
 
 
 @dataclass(slots=True, kw_only=True)
 class Span:
-    """One span as a process wrote it.
+    """One span of a trace, as a process recorded it.
 
     Parameters
     ----------
     trace_id, span_id, parent_id : str
-        Hexadecimal ids without prefix; the parent's is empty for a root.
+        Hexadecimal ids without prefix; the parent's id is empty for a root span.
     name : str
-        Name of the hop.
+        Name of the operation.
     instance : str
-        Process that wrote it.
+        Instance that recorded the span.
     start, end : datetime
-        Wall-clock times of that process.
+        Wall-clock times at that instance.
     is_error : bool
-        Whether the hop failed.
+        Whether the operation failed.
     attributes : dict
-        Attributes of the hop.
+        Attributes of the span by name.
     children : list of Span
-        By start.
+        Child spans in order of their start.
     """
 
     trace_id: str
@@ -45,12 +45,12 @@
 
 
 def read_spans(lines):
-    """Return the spans among lines; lines of the log are passed over.
+    """Return the spans among the lines of a log; other lines are skipped.
 
     Parameters
     ----------
     lines : iterable of str
-        What processes wrote to standard error.
+        Lines that processes wrote to their log.
     """
     spans = []
     for line in lines:
@@ -75,17 +75,18 @@
 
 
 def assemble_traces(spans):
-    """Return the roots of each trace, with children linked.
+    """Link spans to their parents and return the root spans of each trace.
 
     Parameters
     ----------
     spans : list of Span
-        Spans of all processes.
+        Spans of all processes; their `children` are extended.
 
     Returns
     -------
     roots_by_trace : dict of str to list of Span
-        A span whose parent is unknown, for example a caller's, is a root.
+        Root spans by trace id. A span whose parent is not among the spans, for example
+        because it belongs to the caller, is a root.
     """
     by_id = {span.span_id: span for span in spans}
     roots_by_trace = {}
@@ -99,12 +100,12 @@
 
 
 def trace_lines(roots_by_trace):
-    """Return traces as lines for people.
+    """Return traces as lines of text, indented as trees.
 
     Parameters
     ----------
     roots_by_trace : dict of str to list of Span
-        From `assemble_traces`.
+        Root spans by trace id, as `assemble_traces` returns them.
     """
     lines = []
     for trace_id, roots in roots_by_trace.items():
@@ -116,15 +117,15 @@
 
 def _span_lines(span, depth):
     milliseconds = (span.end - span.start).total_seconds() * 1000
-    shown = [
-        f"{name.removeprefix(SHOWN_PREFIX)}={value}"
+    attribute_texts = [
+        f"{name.removeprefix(ATTRIBUTE_PREFIX)}={value}"
         for name, value in sorted(span.attributes.items())
-        if name.startswith(SHOWN_PREFIX)
+        if name.startswith(ATTRIBUTE_PREFIX)
     ]
-    failed = "  FAILED" if span.is_error else ""
+    failure_mark = "  FAILED" if span.is_error else ""
     indent = "  " * depth
-    line = f"{indent}{span.name}  {span.instance}  {milliseconds:.1f} ms{failed}"
-    lines = ["  ".join([line, *shown])]
+    line = f"{indent}{span.name}  {span.instance}  {milliseconds:.1f} ms{failure_mark}"
+    lines = ["  ".join([line, *attribute_texts])]
     for child in span.children:
         lines += _span_lines(child, depth + 1)
     return lines
