--- a/packages/magnoliagrade-standins/magnoliagrade_standins/balance/command.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/balance/command.py
@@ -20,7 +20,7 @@
     output : str
         Path without suffix of a JSON file and an SVG plot of the skew over the day;
         empty writes neither.
-    **sizes
+    **plan_fields
         Fields of `BalancePlan`.
     """
     plan = BalancePlan(**plan_fields)
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/bench/latency.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/bench/latency.py
@@ -69,7 +69,7 @@
 
     Parameters
     ----------
-    timed : coroutine function
+    time_url : coroutine function
         Calls a URL and returns a list of times in seconds.
     name : str
         Name of the timed operation.
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/bench/throughput.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/bench/throughput.py
@@ -21,9 +21,9 @@
     ----------
     name : str
         Role of the measured processes.
-    answered : int
+    succeeded : int
         Number of responses with status 200.
-    refused : int
+    rejected : int
         Number of responses with another status.
     duration_s : float
         Duration of the measurement.
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/demo/run.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/demo/run.py
@@ -62,7 +62,7 @@
     ----------
     plan : DemoPlan
         Sizes of the site.
-    say : callable
+    report_status : callable
         Called with one line of text at each stage of the run.
     on_progress : callable, optional
         Called with a `Progress` of the load each second.
