--- a/packages/magnoliagrade-standins/magnoliagrade_standins/engine/server.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/engine/server.py
@@ -11,7 +11,7 @@
     expected_text,
 )
 from magnoliagrade_standins.faults import (
-    AnswerFaults,
+    ResponseFaults,
     abort,
     send_stale_copy,
     send_truncated,
@@ -37,7 +37,7 @@
     engine : Engine
         Engine that generates the responses; the caller runs it.
     """
-    faults = AnswerFaults()
+    faults = ResponseFaults()
 
     async def complete(http_request):
         fields = await http_request.json()
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/service/service.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/service/service.py
@@ -5,7 +5,7 @@
 from aiohttp import web
 
 from magnoliagrade_standins.faults import (
-    AnswerFaults,
+    ResponseFaults,
     abort,
     send_stale_copy,
     send_truncated,
@@ -94,7 +94,7 @@
     service : PlainService
         Service that executes the requests.
     """
-    faults = AnswerFaults()
+    faults = ResponseFaults()
 
     async def call(request):
         response = await service.execute(
