--- a/packages/magnoliagrade-entry/magnoliagrade_entry/direct/arrival.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/direct/arrival.py
@@ -10,11 +10,12 @@
 
 __all__ = ["DirectRequest", "read_request"]
 
-# Part of the bound on revoked keys that is reserved for the work after the check.
+# Part of the bound on revoked keys (setting `revoke_ms`) that is reserved for the
+# work after the check of the key.
 REVOKE_MARGIN_S = 0.1
 # With a configuration confirmed longer ago than this, an unknown key or route gets a
 # 503 instead of 401 or 404, because a newer configuration may contain it. Two
-# confirmations are up to two watch waits of 1.5 s apart.
+# confirmations are up to two waits of the store watch, of 1.5 s each, apart.
 DENIAL_MAX_AGE_S = 3.5
 # Retry-After of rejections that end once the store responds again.
 STORE_RETRY_S = 1.0
@@ -24,7 +25,7 @@
 # about 0.1 s, and a few hundred ms while the store is slow. Callers wait for at least a
 # third of a second.
 CONFIGURATION_WAIT_S = 0.4
-# Deadline of requests whose caller sets none.
+# Time until the deadline of requests whose caller sets none.
 DEFAULT_DEADLINE_S = 30.0
 
 
@@ -47,9 +48,10 @@
     service : str
         Service picked among the route's weighted shares.
     organisation : SiteOrganisation or None
-        Organisation that the request's key belongs to; None for public requests.
+        Organisation that the request's key belongs to; None for public requests, and
+        for all requests if the configuration lists no organisations.
     arrived_at, ends_at : float
-        Time of arrival and deadline of the response, in seconds.
+        Time of arrival and deadline of the response, in seconds of the monotonic clock.
     last_event_id : str
         Id of the event after which its stream resumes; empty to start a new one.
     """
@@ -100,7 +102,8 @@
     target = http_request.raw_path
     if not target.startswith("/"):
         raise MagnoliagradeError(
-            ErrorKind.INVALID_REQUEST, "the request target is not a path"
+            ErrorKind.INVALID_REQUEST,
+            f"the request target does not begin with a slash: {target[:80]!r}",
         )
     site_state = node.site_state
     if site_state.configuration is None:
@@ -114,7 +117,9 @@
     route = site_state.route_table.find(headers.get("Host", ""), target)
     if route is None:
         raise _denial_error(
-            node, ErrorKind.NO_ROUTE, "no route matches this host and path"
+            node,
+            ErrorKind.NO_ROUTE,
+            f"no route matches host {headers.get('Host', '')[:80]!r} and this path",
         )
     organisation = _authenticate(node, headers, route)
     wait_s = deadline_of(headers)
@@ -157,7 +162,7 @@
     if age_s > limit_s:
         raise MagnoliagradeError(
             ErrorKind.STORE_UNAVAILABLE,
-            f"keys were last confirmed {age_s:.1f} s ago",
+            f"API keys were last confirmed {age_s:.1f} s ago, limit {limit_s:.1f} s",
             retry_after=STORE_RETRY_S,
         )
     if key not in by_key:
@@ -186,7 +191,7 @@
     except TimeoutError:
         raise MagnoliagradeError(
             ErrorKind.INVALID_REQUEST,
-            "the request body did not arrive before the deadline",
+            f"the request body did not arrive within {limit_s:.2f} s, its deadline",
         ) from None
 
 
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/direct/attempts.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/direct/attempts.py
@@ -20,9 +20,9 @@
 # A time-out counts as a failure of the endpoint only if the attempt lasted this long:
 # several times the mean duration of a plain call (45 ms).
 MIN_TIMEOUT_FAILURE_S = 0.3
-# Streams move away from a rank at this multiple of the normal time per pass. Reading a
-# prompt again takes about 15 ms; at this pace the rank's share of a pass is longer than
-# an entire normal pass.
+# Streams move away from a rank at this multiple of the normal time per pass. At this
+# pace the rank's share of a pass is longer than an entire normal pass, while a move
+# costs only reading the prompt again, about 15 ms.
 MOVE_PACE = 3.0
 
 ATTEMPTS = Counter(
@@ -40,6 +40,13 @@
         The entry.
     request : DirectRequest
         The request.
+
+    Notes
+    -----
+    `tried` holds the ids of the endpoints selected so far, and `sent` counts those that
+    the request was sent to. `has_run` is set once an attempt that may have run the
+    request has failed. `last_event_id` and `last_event_at` (seconds; None before the
+    first event) describe the last event sent to the caller of a stream.
     """
 
     __slots__ = (
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/direct/instance.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/direct/instance.py
@@ -189,13 +189,13 @@
             level=logging.WARNING if is_unavailable else logging.INFO,
             service=service,
         )
-        self.peers.tell_outage(service, is_out=is_unavailable)
+        self.peers.announce_outage(service, is_out=is_unavailable)
         if is_unavailable:
             self.start_recovery_watch(service)
         self.wake_wait_queues()
 
     def start_recovery_watch(self, service):
-        """Start probing an unavailable service, unless a probe task runs already."""
+        """Start polling the status of an unavailable service, unless a task does so."""
         running = self._recovery_by_service.get(service)
         if running is None or running.done():
             self._recovery_by_service[service] = self.tasks.start(
@@ -235,7 +235,10 @@
             return ["no configuration has been received"]
         age_s = self.site_state.age_s()
         if age_s > READY_MAX_AGE_FRACTION * self.settings.revoke_ms / 1000:
-            return [f"the configuration was last confirmed {age_s:.1f} s ago"]
+            return [
+                f"the configuration was last confirmed {age_s:.1f} s ago, more than "
+                f"{READY_MAX_AGE_FRACTION} of revoke_ms={self.settings.revoke_ms:g}"
+            ]
         return []
 
     def _open_clients(self):
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/direct/knowledge.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/direct/knowledge.py
@@ -19,8 +19,9 @@
 
 __all__ = ["STORE_SETTLE_S", "SiteState"]
 
-# Endpoints whose leases expired during a store outage register again about two seconds
-# after its end; this is that time less the duration of a call.
+# Time after the end of a store outage for which endpoints whose leases expired are
+# kept: they register again about two seconds after its end; this is that time less the
+# duration of a call.
 STORE_SETTLE_S = 1.8
 
 _log = logging.getLogger(__name__)
@@ -140,7 +141,8 @@
         values : list of StoreValue
             All keys.
         revision : int
-            Revision of the store that the listing contains at least.
+            Revision of the store up to which the listing contains all changes; it may
+            contain later ones.
         """
         listed = {value.key for value in values}
         for value in values:
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/direct/outages.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/direct/outages.py
@@ -10,9 +10,10 @@
 # status reports arrive. A group forms in 0.6 s.
 PROBE_INTERVAL_S = 0.4
 # Time after a status report during which no request is used as a probe: two intervals
-# between reports and one for a lost report.
+# between the reports that `watch_recovery` requests, and one for a lost report.
 PROBE_HOLDOFF_S = 1.2
-# A single rejection may come from one group of several that serve the same service.
+# Endpoints in a row that report a lost rank before their service counts as unavailable:
+# a single rejection may come from one group of several that serve the same service.
 BROKEN_ENDPOINTS_FOR_OUTAGE = 2
 
 
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/direct/overload.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/direct/overload.py
@@ -30,7 +30,7 @@
 # mostly arrived one by one, so little is needed: with an outage of 6 s, each tenth of a
 # second less makes one caller in sixty retry during the outage.
 MAX_RETRY_AFTER_JITTER = 0.08
-# An earlier retry would find the same queue.
+# Shortest Retry-After: an earlier retry would find the same queue.
 MIN_RETRY_AFTER_S = 0.1
 
 
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/direct/peers.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/direct/peers.py
@@ -67,7 +67,7 @@
             port=int(port),
             make_link=self._make_link,
             hello=self._hello,
-            handle=self._run,
+            handle=self._exchange_reports,
         )
 
     def update(self):
@@ -111,7 +111,7 @@
                 rows = [self._row(endpoint_id) for endpoint_id in changed]
                 self._broadcast(WorkInFlight(endpoints=rows))
 
-    def tell_outage(self, service, *, is_out):
+    def announce_outage(self, service, *, is_out):
         """Announce to all peers that an outage of a service begins or ends."""
         self._broadcast(ServiceOutage(service=service, is_out=is_out))
 
@@ -128,7 +128,7 @@
             address=address,
             make_link=self._make_link,
             hello=self._hello,
-            handle=self._run,
+            handle=self._exchange_reports,
             clock=node.clock,
             rng=node.rng,
             source=node.settings.source_address,
@@ -153,7 +153,7 @@
             control_address=settings.link_address,
         )
 
-    async def _run(self, link):
+    async def _exchange_reports(self, link):
         name = link.peer_instance
         self.link_by_name[name] = link
         log_event(_log, "link.up", peer=name)
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/direct/placement.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/direct/placement.py
@@ -11,15 +11,15 @@
 
 __all__ = ["EndpointLoad", "EndpointTable", "placement_policies"]
 
-# Failures in a row after which an endpoint is ejected. One request in seven fails at
-# random.
+# Failures in a row after which an endpoint is ejected; more than one, because one
+# request in seven fails at random.
 FAILURES_TO_EJECT = 2
 # Time-outs in a row after which an endpoint is ejected; more than for other failures,
 # because a request may exceed its route's time limit at any endpoint, and an entry
 # sends few other requests to an endpoint of a plain service.
 TIMEOUTS_TO_EJECT = 4
-# First ejection time; longer than a lookup's latency objective and shorter than a stall
-# of a group.
+# First ejection time; longer than the latency objective of a lookup (an idempotent
+# plain request) and shorter than a stall of a group.
 EJECT_BASE_S = 0.5
 # Longest ejection time; the usual duration of a crash.
 EJECT_MAX_S = 4.0
@@ -34,7 +34,7 @@
 # a rank as long as a normal pass of a full rank, and all ranks wait for it.
 AVOID_PACE = 2.0
 # Cost of sending a request to another data centre, in requests in flight: less than
-# one, so that an even load has precedence.
+# one, so that an even load has precedence over staying in the local data centre.
 REMOTE_PENALTY_REQUESTS = 0.9
 
 placement_policies = Registry(family="placement policy")
@@ -176,13 +176,13 @@
             for notice in notices
             for address, pace in notice.pace_by_address.items()
         }
-        usual = (1.0, float("-inf"))
+        normal = (1.0, float("-inf"))
         for load in self.by_id.values():
             address = load.endpoint.address
-            load.pace, load.slow_until = pace_and_end.get(address, usual)
+            load.pace, load.slow_until = pace_and_end.get(address, normal)
 
     def next_return_time(self, service, *, now):
-        """Return when the first ejection of a service ends, or None.
+        """Return when the first ejected endpoint of a service returns, or None.
 
         None means that at least one endpoint of the service is not ejected.
         """
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/direct/recovery.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/direct/recovery.py
@@ -1,4 +1,7 @@
-"""Probing the endpoints of an unavailable service until their group has recovered."""
+"""Polling the status of an unavailable service's endpoints until its recovery.
+
+No request of a caller is used for it, unlike for the probes of `outages`.
+"""
 
 import logging
 
@@ -9,16 +12,18 @@
 
 __all__ = ["watch_recovery"]
 
-# Delay of the first probe. Status reports are about 200 ms old, so that the first ones
-# after the loss of a rank may still show a complete group.
+# Delay of the first status query. Status reports are about 200 ms old, so that the
+# first ones after the loss of a rank may still show a complete group.
 FIRST_STATUS_DELAY_S = 0.6
-# Interval between probes. A waiting caller loses half of it on average; each status
-# report is billed as a probe.
+# Interval between status queries. A waiting caller loses half of it on average; the
+# platform bills each status report as a probe.
 STATUS_INTERVAL_S = 0.4
-# Shorter than the interval between probes, and long enough for another data centre.
-# An endpoint that is cut off does not respond.
+# Time limit of a status query, because an endpoint that is cut off does not respond:
+# shorter than the interval between queries, and long enough for a response from another
+# data centre.
 STATUS_TIMEOUT_S = 0.35
-# Random part of the interval, as a fraction, so that entries do not probe in step.
+# Random part of the interval, as a fraction, so that entries do not send their queries
+# in step.
 STATUS_JITTER = 0.2
 
 REPORTS = Counter(
@@ -30,7 +35,7 @@
 
 
 async def watch_recovery(node, service):
-    """Probe a service until it is available, so that no request has to.
+    """Poll a service until it is available, so that no request is used as a probe.
 
     Parameters
     ----------
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/direct/retry_budget.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/direct/retry_budget.py
@@ -15,7 +15,7 @@
 
 
 class RetryBudget:
-    """Attempts that this entry may make beyond the first of each request.
+    """Retries that this entry may make: attempts beyond the first of each request.
 
     Parameters
     ----------
@@ -36,7 +36,7 @@
     """
 
     __slots__ = (
-        "_attempt_times_by_service",
+        "_retry_times_by_service",
         "_count_entries",
         "_extra",
         "_ratio",
@@ -50,7 +50,7 @@
         self._window_s = window_s
         self._count_entries = count_entries
         self._request_times_by_service = {}
-        self._attempt_times_by_service = {}
+        self._retry_times_by_service = {}
 
     def record_request(self, service, *, now):
         """Count a request of a caller for a service."""
@@ -58,7 +58,7 @@
 
     def acquire(self, service, *, now):
         """Return whether one more retry is allowed, and count it if so."""
-        spent = self._recent(self._attempt_times_by_service, service, now)
+        spent = self._recent(self._retry_times_by_service, service, now)
         requests = self._recent(self._request_times_by_service, service, now)
         entries = self._count_entries() + UNKNOWN_ENTRIES
         allowed = SAFETY_FACTOR * (self._ratio * len(requests) + self._extra / entries)
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/direct/serving.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/direct/serving.py
@@ -1,4 +1,7 @@
-"""Serving of validated requests: attempts at endpoints and the caller's response."""
+"""Serving of validated requests: attempts at endpoints and the caller's response.
+
+A plain request is one whose response is not a stream.
+"""
 
 import asyncio
 
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/direct/site_watch.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/direct/site_watch.py
@@ -18,6 +18,7 @@
 # two waits and a slow call pass between two confirmations, and an entry is ready while
 # its state is younger than 0.7 of the bound.
 WATCH_WAIT_FRACTION = 0.3
+# Prefix of every key of the store.
 ALL_KEYS = ""
 # Pause after a change, so that one call returns several changes in quick succession:
 # servers register within two seconds, and configurations follow each other within
@@ -100,7 +101,7 @@
                 _log,
                 "store.lost",
                 level=logging.WARNING,
-                detail=str(exc),
+                detail=f"{type(exc).__name__}: {exc}",
                 age_s=round(self._node.site_state.age_s(), 3),
             )
         await asyncio.sleep(self._pause_s * self._node.rng.uniform(0.7, 1.0))
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/direct/streams.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/direct/streams.py
@@ -15,6 +15,7 @@
 
 __all__ = ["EventReader", "StreamEvent", "relay_stream"]
 
+# Limit on the bytes of one event, which is held in memory until it is complete.
 EVENT_LIMIT_BYTES = 1024 * 1024
 # A stream without data for this long is resumed elsewhere: longer than a stall of a
 # group, and shorter than the two seconds after which callers time out.
@@ -79,7 +80,8 @@
         if len(self._buffer) > EVENT_LIMIT_BYTES:
             raise AttemptFailed(
                 ErrorKind.ANSWER_BROKEN,
-                f"an event of {len(self._buffer)} bytes exceeds the limit",
+                f"an event of {len(self._buffer)} bytes or more exceeds the limit of "
+                f"{EVENT_LIMIT_BYTES} bytes",
                 has_run=True,
             )
         return events
@@ -178,7 +180,7 @@
         return True
 
     def abort(self, failed):
-        """Reset the caller's connection, so that a broken stream is not complete."""
+        """Reset the caller's connection, so that the stream does not look complete."""
         if self._http_request.transport is not None:
             self._http_request.transport.abort()
         log_event(
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/direct/tests/test_overload.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/direct/tests/test_overload.py
@@ -104,7 +104,7 @@
     while at < 20.0:
         at += rng.expovariate(rate)
         arrivals.append(Arrival(arrived_at=at, ends_at=at + 8.0))
-    ends = []
+    running = []
     waiting = []
     good = 0
     events = [(a.arrived_at, 0, i) for i, a in enumerate(arrivals)]
@@ -114,12 +114,12 @@
         if kind == 0:
             waiting.append(arrivals[index])
         else:
-            ends.pop()
+            running.pop()
         waiting = [a for a in waiting if slot_deadline(a) > now]
-        while waiting and len(ends) < slots:
+        while waiting and len(running) < slots:
             first = min(waiting, key=lambda a: order(a, now))
             waiting.remove(first)
-            ends.append(first)
+            running.append(first)
             heapq.heappush(events, (now + work_s, 1, 0))
             good += now + FIRST_EVENT_S <= first.arrived_at + OBJECTIVE_S
     return good / len(arrivals)
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/direct/upstream.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/direct/upstream.py
@@ -18,8 +18,9 @@
 
 __all__ = ["AttemptFailed", "EndpointConnector", "UpstreamResponse", "open_response"]
 
-# Longer than the two trips between data centres that opening a connection takes, a few
-# ms. TCP repeats the first packet to an unreachable machine only after a second.
+# Time limit for opening a connection: longer than the two trips between data centres
+# that this takes, a few ms. TCP repeats the first packet to an unreachable machine only
+# after a second.
 CONNECT_TIMEOUT_S = 0.35
 
 
@@ -219,7 +220,9 @@
         response.close()
         raise AttemptFailed(
             ErrorKind.UPSTREAM_FAILED,
-            f"{endpoint.id} sent a response that does not match the request: {status}",
+            f"{endpoint.id} sent a response with status {status} that belongs to "
+            f"another request, lacks its signature or has a Content-Encoding; its "
+            f"request id is {request_id!r}",
             has_run=True,
         )
     return UpstreamResponse(response=response, status=status)
@@ -228,6 +231,6 @@
 def _broken_response(exc):
     return AttemptFailed(
         ErrorKind.OUTCOME_UNKNOWN,
-        f"the response was cut off: {type(exc).__name__}",
+        f"the connection failed before the response was complete: {type(exc).__name__}",
         has_run=True,
     )
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/direct/waiting.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/direct/waiting.py
@@ -126,7 +126,7 @@
             future=asyncio.get_running_loop().create_future(),
         )
         self.waiters.append(waiter)
-        # No event marks the end of an ejection.
+        # An ejection may have ended since the last call: no event marks its end.
         self.wake()
         try:
             return await asyncio.wait_for(waiter.future, max(0.0, slot_deadline - now))
@@ -183,6 +183,7 @@
                 self.waiters.remove(waiter)
                 waiter.future.set_result(load)
             elif not waiter.excluded:
+                # No endpoint at all has a free slot.
                 return
 
     def _acquire_free_slot(self, excluded, now):
@@ -201,12 +202,18 @@
             if load.endpoint.id not in excluded
         ]
         if not candidates:
-            raise self._overloaded_error("no endpoint accepts requests", request)
+            raise self._overloaded_error(
+                f"no endpoint accepts requests ({len(excluded)} tried already)", request
+            )
         returns_at = self._endpoint_table.next_return_time(self._service, now=now)
         if returns_at is not None and returns_at > slot_deadline:
-            raise self._overloaded_error("all endpoints are ejected", request)
+            raise self._overloaded_error(
+                "all endpoints are ejected for too long", request
+            )
         if now + self._expected_wait_s(now, ahead) > slot_deadline:
-            raise self._overloaded_error("the queue is too long", request)
+            raise self._overloaded_error(
+                "the queue is too long to get a slot in time", request
+            )
 
     def _expected_wait_s(self, now, ahead):
         recent = sum(now - at <= RATE_WINDOW_S for at in self._completions)
@@ -225,6 +232,6 @@
             wait_s = self._expected_wait_s(now, len(self.waiters))
         return MagnoliagradeError(
             ErrorKind.OVERLOADED,
-            f"{detail}: {len(self.waiters)} requests waiting",
+            f"{detail}: {len(self.waiters)} requests waiting for {self._service}",
             retry_after=retry_after_s(wait_s, request.ends_at - now, rng=self._rng),
         )
--- a/packages/magnoliagrade/magnoliagrade/platform/configuration.py
+++ b/packages/magnoliagrade/magnoliagrade/platform/configuration.py
@@ -66,7 +66,9 @@
 def _route(document):
     kind = string_field(document, "Kind")
     if kind not in _KIND_BY_NAME:
-        raise FormatError(f"Kind: unknown route kind {kind!r}")
+        raise FormatError(
+            f"Kind: unknown kind {kind!r} of route {document.get('Name')!r}"
+        )
     if "Split" in document:
         shares = [
             ServiceShare(
--- a/packages/magnoliagrade/magnoliagrade/platform/fields.py
+++ b/packages/magnoliagrade/magnoliagrade/platform/fields.py
@@ -41,7 +41,9 @@
     except (ValueError, UnicodeDecodeError, RecursionError) as exc:
         raise FormatError(f"document of {len(data)} bytes is not valid JSON") from exc
     if not isinstance(document, dict):
-        raise FormatError(f"expected a JSON object, got a {type(document).__name__}")
+        raise FormatError(
+            f"expected a JSON object as document, got a {type(document).__name__}"
+        )
     return document
 
 
--- a/packages/magnoliagrade/magnoliagrade/platform/items.py
+++ b/packages/magnoliagrade/magnoliagrade/platform/items.py
@@ -69,7 +69,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class InstanceItem:
-    """A process of this system and its link address; empty if it is gone."""
+    """A process of this system; its link `address` is empty if it has ended."""
 
     name: str
     address: str
@@ -96,8 +96,8 @@
     Returns
     -------
     item : object or None
-        One of the item classes of this module; None for a key that belongs to
-        another system.
+        One of the item classes of this module; None for a key that this module does
+        not know.
 
     Raises
     ------
--- a/packages/magnoliagrade/magnoliagrade/platform/ranks.py
+++ b/packages/magnoliagrade/magnoliagrade/platform/ranks.py
@@ -74,7 +74,7 @@
         return decode_status(await self._get("/report"))
 
     async def counts(self):
-        """Return the epoch and how often each expert was chosen, as a list by set."""
+        """Return the epoch and how often each expert was chosen, by set of layers."""
         document = load_object(await self._get("/picked"))
         counts = document.get("Counts")
         if not isinstance(counts, list):
@@ -106,7 +106,7 @@
         step : int, optional
             Number of the forward pass that the order applies to.
         experts : list of list of list of int, optional
-            Experts by set and rank.
+            Experts by set of layers and rank.
         """
         document = {"Operation": _OPERATION_BY_NAME[operation], "epoch": epoch}
         if version is not None:
--- a/packages/magnoliagrade/magnoliagrade/platform/store.py
+++ b/packages/magnoliagrade/magnoliagrade/platform/store.py
@@ -18,7 +18,7 @@
 
 __all__ = ["HistoryLost", "PlatformStore", "StoreEvent"]
 
-# The store responds in 4 ms, and in the order of 100 ms when it is slow.
+# The store responds in 4 ms, and in up to a few hundred ms when it is slow.
 CALL_TIMEOUT_S = 1.0
 # Added to the wait of a watch; without a response by then, the watch times out.
 WATCH_TIMEOUT_MARGIN_S = 0.7
@@ -175,7 +175,7 @@
             STORE_CALLS.labels(purpose, verb, "unavailable").inc()
             was_never_sent = isinstance(exc, aiohttp.ClientConnectorError)
             raise StoreUnavailable(
-                f"{method} {path} failed: {type(exc).__name__}",
+                f"{method} {path} of {self._url} failed: {type(exc).__name__}",
                 maybe_applied=method != "GET" and not was_never_sent,
             ) from exc
         STORE_CALLS.labels(purpose, verb, str(response.status)).inc()
