--- a/packages/magnoliagrade-agent/magnoliagrade_agent/direct/coordinator.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/direct/coordinator.py
@@ -1,7 +1,7 @@
 """Coordination of a group by one agent: collects counters, plans and switches maps.
 
-The agents of the next ranks take over, or release a pass that the coordinator holds, if
-the coordinator stops.
+The agent of rank 0 coordinates. If it stops, the agents of ranks 1 and 2 release a pass
+that it holds, and the agent of the lowest rank from 1 to 3 that is running takes over.
 """
 
 import asyncio
@@ -31,10 +31,11 @@
 # counters cross data centres.
 LOW_LOAD_PLAN_INTERVAL_S = 0.7
 # Interval at which the agents of other ranks check whether they have to take over; well
-# below the silence of 2.5 s after which they do.
+# below the time without calls (2.5 s, and 2 s more for each rank) after which they do.
 STANDBY_CHECK_INTERVAL_S = 1.0
 # Number of ranks after rank 0 whose agents release a pass that the coordinator has held
-# and not released. Callers of streams leave after two seconds without an event.
+# and not released. They act before the coordinator is replaced, because callers of
+# streams disconnect after two seconds without an event.
 RECOVERY_CANDIDATES = 2
 # Interval at which the agents that may recover a group check whether it has stalled.
 RECOVERY_CHECK_INTERVAL_S = 0.25
@@ -53,10 +54,9 @@
 STALL_TIMEOUT_PASSES = 4
 # Interval at which a recovery candidate tries to find the ranks before it needs them.
 DISCOVERY_INTERVAL_S = 2.0
-# Part of the time without calls of other agents after which an agent takes over as
-# coordinator; the same for all ranks.
+# The agent of rank r takes over as coordinator if no other agent has called it for
+# TAKEOVER_SILENCE_S + r * TAKEOVER_SILENCE_PER_RANK_S, so that lower ranks do so first.
 TAKEOVER_SILENCE_S = 2.5
-# Additional time without calls for each rank below the agent's own.
 TAKEOVER_SILENCE_PER_RANK_S = 2.0
 # Number of ranks whose agents may coordinate: two machines and one data centre may fail
 # at once.
@@ -157,7 +157,9 @@
                 pause_s = PLAN_INTERVAL_S
             except (KeyError, TypeError, ValueError) as exc:
                 # A response of a server may be malformed.
-                self._log_new_failure(f"{type(exc).__name__}: {exc}")
+                self._log_new_failure(
+                    f"replies of ranks could not be used: {type(exc).__name__}: {exc}"
+                )
                 pause_s = PLAN_INTERVAL_S
             await self._node.clock.sleep(pause_s)
 
@@ -379,7 +381,10 @@
     async def _experts_in_use(self, statuses):
         version = statuses[0].map_version
         if any(status.map_version != version for status in statuses):
-            raise RankUnreachable("ranks report different map versions during a switch")
+            raise RankUnreachable(
+                "ranks report different map versions during a switch: "
+                f"{sorted({status.map_version for status in statuses})}"
+            )
         return await self._experts_of_version(version)
 
     async def _experts_of_version(self, version, *, suspect=None):
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/direct/counter_codec.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/direct/counter_codec.py
@@ -1,9 +1,10 @@
 """Delta encoding of the expert counters that agents send to the coordinator.
 
-Load pattern: each of 63 ranks has 2,016 counters. One snapshot of all ranks takes a
-megabyte if the counters are sent in full, and the coordinator's machine receives
-4 Mbit/s. The increments since the previous snapshot are mostly small or zero, and take
-a tenth of that.
+Load pattern: each of 63 ranks has 2,016 counters. The counters of all ranks take a
+megabyte uncompressed, and the coordinator's machine receives 4 Mbit/s. The increments
+since the previous snapshot are mostly small or zero, and take a tenth of that.
+
+A snapshot is one reading of the counters of one rank.
 """
 
 import array
@@ -14,7 +15,7 @@
 
 # The fastest level: each snapshot is compressed, and an agent has a share of a core.
 ZLIB_LEVEL = 1
-# Snapshot ids are sent in a field of 32 bits.
+# Snapshot ids are numbers of 32 bits; 0 means no snapshot.
 SNAPSHOT_ID_RANGE = 2**32
 
 
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/direct/instance.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/direct/instance.py
@@ -19,7 +19,7 @@
 
 __all__ = ["DirectAgent"]
 
-# For calls to the server on the same machine, which responds within a few ms.
+# Time-out of reads from the server on the same machine, which responds within a few ms.
 SERVER_TIMEOUT_S = 0.25
 # The server responds to orders within 4 ms. The time-out is short because a held pass
 # waits for the next try.
@@ -37,6 +37,14 @@
         Validated settings.
     clock : Clock, optional
         Source of time; the system's by default.
+
+    Attributes
+    ----------
+    gap_objective_s : float
+        Strictest objective for the gap between events among the routes to the group's
+        service, in seconds; 0 for no objective.
+    last_coordinator : str
+        Server address of the agent that last called as coordinator; empty before.
     """
 
     __slots__ = (
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/direct/member.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/direct/member.py
@@ -15,6 +15,9 @@
 
 __all__ = ["CONFIRMED", "FAILED", "REFUSED", "RankMember"]
 
+# Outcomes in a `RankReply`. Confirmed: the read succeeded, or the status shows the
+# effect of the order. Refused: the server rejected the order, or the read belongs to
+# another epoch or map version. Failed: the read failed, or the effect is unknown.
 CONFIRMED = "confirmed"
 REFUSED = "refused"
 FAILED = "failed"
@@ -50,8 +53,8 @@
         self._clock = clock
         self._status_lag_s = status_lag_s
         self._server = server
-        # Starts at a random id, so that a restarted agent never sends a delta to a
-        # snapshot of its predecessor.
+        # Starts at a random id, so that a restarted agent never sends increments to a
+        # snapshot that its former process sent.
         self._counter_encoder = CounterEncoder(first_snapshot_id=new_incarnation())
 
     async def execute(self, call):
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/direct/planning.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/direct/planning.py
@@ -2,6 +2,9 @@
 
 Load pattern: the experts that requests choose shift every few seconds, and each pass
 lasts as long as the most loaded rank of each set takes.
+
+A placement is an expert map as a Boolean array. A choice is one selection of an expert,
+as the counters of the ranks count it.
 """
 
 import numpy as np
@@ -43,11 +46,12 @@
 URGENT_FROM_SLOT_FRACTION = 0.55
 # Fraction of the slots in use from which the urgency of a new map is 1.
 FULLY_URGENT_SLOT_FRACTION = 0.85
-# Fraction of a pass that one copied expert has to save at urgency 1: the price of a
-# copy, divided by what callers gain per saved fraction in the 3 s until the next shift
-# of the load.
+# Fraction of a pass that one copied expert has to save at urgency 1. It is the price of
+# a copy divided by the gain to callers, per saved fraction of a pass, in the 3 s until
+# the next shift of the load.
 MIN_GAIN_PER_COPY_FRACTION = 0.0015
-# Bounds the work of a plan; larger than the number of places of a set that may change.
+# Largest number of changes that a plan makes to one set, to bound the planning time;
+# larger than the number of experts of a set that one switch may replace.
 MAX_MOVES_PER_SET = 64
 # Choices in a window below which no map is planned. A rank counts 13,788 choices of its
 # hottest expert in the first second of traffic.
@@ -173,7 +177,7 @@
         Fraction of the experts' part of a pass that one copied expert has to save.
     """
     planned = placement.copy()
-    floor = min_gain_per_copy * step_time(rank_times(placement, rates, speeds))
+    min_gain = min_gain_per_copy * step_time(rank_times(placement, rates, speeds))
     for index in range(len(placement)):
         _improve_set(
             planned[index],
@@ -182,7 +186,7 @@
             speeds=speeds,
             places=places,
             spare=spare,
-            floor=floor,
+            min_gain=min_gain,
         )
     return planned
 
@@ -212,19 +216,19 @@
 
 
 def load_skew(placement, rates):
-    """Return the time of the slowest rank over that of the mean rank, summed over sets.
+    """Return the ratio of the slowest rank's time to the mean time, summed over sets.
 
     All ranks are taken as equally fast.
     """
     return skew(rank_times(placement, rates, np.ones(placement.shape[1])))
 
 
-def _improve_set(planned, former, rates, *, speeds, places, spare, floor):
+def _improve_set(planned, former, rates, *, speeds, places, spare, min_gain):
     for _ in range(MAX_MOVES_PER_SET):
         added = (planned & ~former).sum(axis=1)
         move = best_change(
             planned, rates, speeds=speeds, slots=places, may_load=added < spare
         )
-        if move is None or move.gain_per_transfer < floor:
+        if move is None or move.gain_per_transfer < min_gain:
             return
         apply_change(planned, move)
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/direct/ports.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/direct/ports.py
@@ -26,9 +26,9 @@
     "call_with_short_timeout",
 ]
 
-# Time-outs for replies of an agent, after which the link is closed and the rank's
-# server is called directly. Copies take up to 1.5 s, and an agent sends an order again
-# if it gets no response.
+# Time-outs for replies of an agent. When one expires, the link is closed and the rank's
+# server is called directly, except for `counts`. The time-out of `prepare` covers the
+# copies, which take up to 1.5 s, and repeated orders.
 REPLY_TIMEOUT_S_BY_OPERATION = {
     "status": 0.5,
     # The first snapshot of 63 ranks is about 250 KB: half a second at 4 Mbit/s.
@@ -97,7 +97,9 @@
         """
         reply = await self.call(RankCall(operation="status"))
         if reply.outcome != CONFIRMED:
-            raise RankUnreachable(f"{self.name}: status could not be read")
+            raise RankUnreachable(
+                f"{self.name}: status could not be read: {reply.outcome}"
+            )
         return RankStatus(**json.loads(reply.status))
 
     async def order(self, operation, **fields):
@@ -135,7 +137,8 @@
         )
         if reply.outcome != CONFIRMED:
             raise RankUnreachable(
-                f"{self.name}: counts of epoch {epoch} could not be read"
+                f"{self.name}: counts of epoch {epoch} could not be read: "
+                f"{reply.outcome}"
             )
         try:
             counters = self._counter_decoder.decode(reply.counts)
@@ -154,7 +157,8 @@
         reply = await self.call(RankCall(operation="experts", version=version))
         if reply.outcome != CONFIRMED:
             raise RankUnreachable(
-                f"{self.name}: experts of map {version} could not be read"
+                f"{self.name}: experts of map {version} could not be read: "
+                f"{reply.outcome}"
             )
         return unpack_experts(reply.counts)
 
@@ -267,7 +271,7 @@
 
     async def _call_over_link(self, call):
         if self._link is None:
-            raise RankUnreachable(f"{self.name}: not linked")
+            raise RankUnreachable(f"{self.name}: no link to the rank's agent")
         self._next_call += 1
         call.call = self._next_call
         pending_reply = asyncio.get_running_loop().create_future()
@@ -282,7 +286,7 @@
             if self._link is not None:
                 self._link.close()
             raise RankUnreachable(
-                f"{self.name}: no reply within {timeout_s} s"
+                f"{self.name}: no reply to {call.operation!r} within {timeout_s} s"
             ) from None
         finally:
             self._pending_reply_by_call.pop(call.call, None)
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/direct/rank_directory.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/direct/rank_directory.py
@@ -88,7 +88,9 @@
             client_by_rank[missing_ranks[0]] = self._client_by_address[suspect_address]
         if len(client_by_rank) != status.size:
             missing = status.size - len(client_by_rank)
-            raise RankUnreachable(f"{missing} of {status.size} ranks were not found")
+            raise RankUnreachable(
+                f"{missing} of {status.size} ranks were not found: {missing_ranks}"
+            )
         log_event(
             _log,
             "group.found",
@@ -118,7 +120,8 @@
             self._dial_task_by_address.pop(address).cancel()
         for address in wanted - self._client_by_address.keys():
             self._client_by_address[address] = self._dial(address)
-        # A link is established within a few round trips between data centres.
+        # Waits for new links, each of which is established within a few round trips
+        # between data centres.
         await self._node.clock.sleep(0.1)
 
     def _dial(self, server_address):
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/direct/slow_ranks.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/direct/slow_ranks.py
@@ -65,7 +65,7 @@
         }
 
     async def run(self):
-        """Publish the slow ranks when they change or are due again, until cancelled.
+        """Publish the slow ranks on change and at intervals, until cancelled.
 
         Notes
         -----
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/direct/switching.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/direct/switching.py
@@ -1,8 +1,9 @@
 """Switches all ranks of a group to another expert map at one pass.
 
 A switch prepares the map on all ranks, holds a pass, arms all ranks for that pass and
-releases it. Ranks do not compare maps, and an order without a response may be executed
-seconds later. The following rules ensure that no pass runs with two maps:
+releases it. In identifiers, `step` is the number of a pass. Ranks do not compare maps,
+and an order without a response may be executed seconds later. The following rules
+ensure that no pass runs with two maps:
 
 - A pass is held at one rank before any rank is armed for it, and the effect of each
   order is read from the rank's status. The pass is not held at the coordinator's rank,
@@ -48,7 +49,7 @@
 # Lead time if an order has just had no response: arming may then need several tries of
 # 80 ms.
 LEAD_TIME_LOSSY_S = 0.75
-# Shortest pass of a group: 5 steps of 5.85 ms.
+# Shortest pass of a group: 5 decoding steps of 5.85 ms.
 MIN_PASS_S = 0.03
 # Two, because the pass that is under way may end at once.
 MIN_LEAD_PASSES = 2
@@ -58,7 +59,8 @@
 VERSION_STRIDE = 2**24
 # Interval of tries: about two passes, in which late orders take effect.
 SETTLE_RETRY_INTERVAL_S = 0.1
-# Together at least 2 s, after which the caller reads the group's state again.
+# The tries to settle a group take at least 2 s together, after which the caller reads
+# the group's state again.
 MAX_SETTLE_TRIES = 20
 
 _log = logging.getLogger(__name__)
@@ -145,7 +147,14 @@
         Random number generator.
     """
 
-    __slots__ = ("_clock", "_epoch", "_last_step", "_local_client", "_rng", "clients")
+    __slots__ = (
+        "_clock",
+        "_epoch",
+        "_last_held_step",
+        "_local_client",
+        "_rng",
+        "clients",
+    )
 
     def __init__(self, *, clients, local_client, epoch, clock, rng):
         self.clients = clients
@@ -153,7 +162,7 @@
         self._epoch = epoch
         self._clock = clock
         self._rng = rng
-        self._last_step = 0
+        self._last_held_step = 0
 
     async def run(self, experts, former_experts, *, pass_s=0.0):
         """Switch to a map and return its version.
@@ -177,7 +186,10 @@
             await self.settle(former_experts)
             statuses = await self.statuses()
         if any(status.armed_version is not None for status in statuses):
-            raise SwitchFailed("an earlier switch has not reached its pass")
+            raise SwitchFailed(
+                "an earlier switch has not reached its pass: armed maps "
+                f"{sorted({s.armed_version for s in statuses} - {None})}"
+            )
         version = next_version(statuses, rng=self._rng)
         for client in self.clients:
             client.tries = 0
@@ -186,12 +198,14 @@
         is_lossy = any(client.tries > 1 for client in self.clients)
         lead = lead_passes(pass_s, is_lossy=is_lossy)
         step = max(s.step for s in await self.statuses()) + lead
-        step = self._last_step = max(step, self._last_step + 1)
+        step = self._last_held_step = max(step, self._last_held_step + 1)
         holder = self._holding_client()
         outcome, _ = await holder.hold(epoch=self._epoch, step=step)
         if outcome != CONFIRMED:
             await self._release(holder, step)
-            raise SwitchFailed(f"pass {step} could not be held")
+            raise SwitchFailed(
+                f"{holder.name}: pass {step} could not be held: {outcome}"
+            )
         others = [
             client
             for client in self.clients
@@ -223,7 +237,7 @@
     async def settle(self, former_experts, *, coordinator=None):
         """Bring the group out of an unfinished switch, so that no pass remains held.
 
-        Either all ranks are armed for the same map and pass, or none is armed.
+        Afterwards either all ranks are armed for the same map and pass, or none is.
 
         Parameters
         ----------
@@ -245,7 +259,8 @@
             is_armed_alike = len(armed) == 1 and None not in armed.pop()
             if is_armed_alike and len(pairs) < len(self.clients):
                 raise RankUnreachable(
-                    "no reply from the coordinator's rank, which may be unarmed"
+                    f"{coordinator.name}: no reply from the coordinator's rank, which "
+                    "may be unarmed"
                 )
             if is_armed_alike or await self._invalidate_armed_maps(
                 pairs, former_experts
@@ -253,7 +268,9 @@
                 await self._release_all(pairs)
                 return
             await self._clock.sleep(SETTLE_RETRY_INTERVAL_S)
-        raise SwitchFailed("the group could not be settled")
+        raise SwitchFailed(
+            f"the group could not be settled in {MAX_SETTLE_TRIES} tries"
+        )
 
     async def statuses(self):
         """Return the statuses of all ranks, ordered by rank.
@@ -283,7 +300,10 @@
             if isinstance(status, BaseException):
                 raise status
             if status.epoch != self._epoch or not status.is_open:
-                raise RankUnreachable(f"the group has left epoch {self._epoch}")
+                raise RankUnreachable(
+                    f"{client.name} reports epoch {status.epoch}, "
+                    f"is_open={status.is_open}; expected open epoch {self._epoch}"
+                )
             pairs.append((client, status))
         return pairs
 
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/direct/tests/group_fake.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/direct/tests/group_fake.py
@@ -6,6 +6,7 @@
 from magnoliagrade.platform import OrderOutcome
 from magnoliagrade.world.site import RankStatus
 
+# Delay of an order with a response, and of one that is executed without a response.
 MAX_ORDER_DELAY_S = 0.1
 MIN_LATE_S, MAX_LATE_S = 0.05, 3.0
 
@@ -72,7 +73,7 @@
     async def status(self):
         group = self.group
         if self.is_unresponsive or group.rng.random() < group.lost_fraction / 2:
-            raise MagnoliagradeError(ErrorKind.UPSTREAM_FAILED, "no answer")
+            raise MagnoliagradeError(ErrorKind.UPSTREAM_FAILED, "no response")
         return RankStatus(
             group="g",
             epoch=group.epoch,
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/direct/tests/test_coordinator.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/direct/tests/test_coordinator.py
@@ -16,7 +16,7 @@
 
     async def status(self):
         self.calls += 1
-        raise ValueError("counts of another group")
+        raise ValueError("malformed status")
 
 
 def test_a_malformed_status_does_not_stop_the_coordinator():
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/direct/tests/test_planning.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/direct/tests/test_planning.py
@@ -38,7 +38,7 @@
     assert np.mean(after) < 1.3
 
 
-def test_speeds_of_ranks_shorten_the_passes_with_a_slow_rank():
+def test_a_plan_that_knows_rank_speeds_shortens_the_passes_with_a_slow_rank():
     rng = np.random.default_rng(5)
     rates = _demand(rng)
     speeds = EVEN.copy()
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/routing/data_centres.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/routing/data_centres.py
@@ -4,8 +4,12 @@
 
 __all__ = ["PeerSelector"]
 
+# Time that forwarding to a remote data centre adds to the wait there.
 REMOTE_HOP_S = 0.005
+# Age from which a peer's summary is ignored; three times the interval of summaries.
 SUMMARY_MAX_AGE_S = 6.0
+# A request is forwarded only if the local wait exceeds the remote one by the ratio and
+# the margin. The margin is also the least wait of a peer without enough free credit.
 REMOTE_WAIT_MARGIN_S = 0.05
 REMOTE_WAIT_RATIO = 1.25
 
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/routing/endpoints.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/routing/endpoints.py
@@ -38,9 +38,17 @@
         Cost of the local credit requests above a share that are pending.
     requested_by_others : float
         Cost that other entries have requested, as the agent reported.
+    in_flight_cost, in_flight_count : float, int
+        Cost and number of the local requests that have begun and not ended.
+    health : EndpointHealth
+        Recent latency and failures, from the local requests.
 
     Notes
     -----
+    Cost and credit have the unit of `Request.cost`: tokens, or 1 for a request to a
+    service. A request above a share (`is_surplus`) is one of an organisation that uses
+    more than its share, by `RecentUsage`.
+
     A load report is out of date by the time it is used. Each grant therefore
     updates the load as well, and the entry subtracts the cost of its own requests
     as they end.
@@ -245,6 +253,7 @@
 
 
 def _kind(ticket):
+    """Return the key of equal credit requests; a grant fulfils any one of them."""
     return (ticket.request.cost, ticket.is_surplus)
 
 
@@ -261,6 +270,13 @@
         Instances that are leaving.
     clock : Clock
         Source of time.
+
+    Attributes
+    ----------
+    by_name : dict of str to EndpointHandle
+        Handles of the linked endpoints.
+    on_removed : callable or None
+        Called with the handle of an endpoint that was removed.
     """
 
     __slots__ = (
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/routing/outliers.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/routing/outliers.py
@@ -13,7 +13,10 @@
     "DEADLINE",
 )
 MIN_SAMPLES = 8
+# An endpoint is ejected if its seconds per token exceed this multiple of the median of
+# its pool.
 EJECTION_LATENCY_RATIO = 3.0
+# Seconds per token up to which no endpoint is ejected for latency.
 MIN_EJECTION_LATENCY_S = 0.005
 EJECTION_FAILURE_FRACTION = 0.5
 MAX_EJECTED_FRACTION = 0.34
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/routing/pool_queue.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/routing/pool_queue.py
@@ -15,7 +15,10 @@
 
 MAX_WAITING_REQUESTS = 2048
 MAX_WAIT_S = 4.0
+# Number of flows, in fair order, whose first requests are considered for binding and
+# for granted credit.
 MAX_FLOWS_CONSIDERED = 4
+# Number of waiting requests that each flow may have until the queue is full.
 MIN_FLOW_WAITING_REQUESTS = 8
 
 QUEUED = Gauge("magnoliagrade_queue_cost", "Cost that waits for credit", ["pool"])
@@ -86,6 +89,15 @@
     def flow_wait_s(self, flow, weight, cost):
         """Return the estimated wait in seconds of a new request of a flow.
 
+        Parameters
+        ----------
+        flow : str
+            Flow of the request.
+        weight : float
+            Weight of the flow.
+        cost : float
+            Cost of the request.
+
         Notes
         -----
         While other flows wait, a flow is served in proportion to its weight. The
@@ -193,8 +205,11 @@
             Ticket for which the credit was requested; returned if no other ticket
             fits.
         """
+        # Flows whose virtual start times differ by at most the slack count as having
+        # received equal service.
         slack = credit / max(1.0, self._fair.weight)
         heads = self._fair.heads(MAX_FLOWS_CONSIDERED, slack=slack)
+        # Only credit that was requested above a share may go to a request above one.
         fitting = [
             i.value
             for i in heads
@@ -253,16 +268,27 @@
         raise self._deadline_error(wait_s)
 
     def _deadline_error(self, wait_s):
-        detail = f"a wait of {wait_s:.3f} s leaves no time before the deadline"
+        detail = (
+            f"a wait of {wait_s:.3f} s in pool {self.pool!r} leaves no time before "
+            "the deadline"
+        )
         return MagnoliagradeError(
             ErrorKind.DEADLINE_NOT_RUN, detail, retry_after=self._retry_after()
         )
 
     def _check_capacity(self, flow, weight, wait_s):
         if wait_s > MAX_WAIT_S:
-            self._raise_overloaded("wait", f"the estimated wait is {wait_s:.1f} s")
+            self._raise_overloaded(
+                "wait",
+                f"the estimated wait in pool {self.pool!r} is {wait_s:.1f} s, above "
+                f"the limit of {MAX_WAIT_S:.1f} s",
+            )
         if self._fair.count >= MAX_WAITING_REQUESTS:
-            self._raise_overloaded("count", f"{self._fair.count} requests are waiting")
+            self._raise_overloaded(
+                "count",
+                f"{self._fair.count} requests are waiting in pool {self.pool!r}, the "
+                f"limit is {MAX_WAITING_REQUESTS}",
+            )
         if self._fair.count < MAX_WAITING_REQUESTS // 2:
             return
         # Once the queue is half full, each flow is limited to half of its share of
@@ -271,7 +297,9 @@
         share = MAX_WAITING_REQUESTS * weight / max(weight, self._fair.weight)
         if waiting >= max(MIN_FLOW_WAITING_REQUESTS, share / 2):
             self._raise_overloaded(
-                "share", f"{waiting} requests of the organisation are waiting"
+                "share",
+                f"{waiting} requests of flow {flow!r} are waiting in pool "
+                f"{self.pool!r}, which is at least half full",
             )
 
     def _raise_overloaded(self, reason, detail):
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/routing/router.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/routing/router.py
@@ -23,6 +23,7 @@
 TICK_INTERVAL_S = 0.05
 # A credit request that is pending for longer moves to an endpoint with capacity.
 CREDIT_REQUEST_TIMEOUT_S = 0.1
+# Largest number of waiting requests of a pool that one tick may forward to peers.
 MAX_FORWARDED_PER_TICK = 8
 
 PLACEMENTS = Counter(
@@ -149,7 +150,10 @@
         if peer is not None:
             return self._record_placement(pool, Placement(peer=peer, reason="remote"))
         if not candidates:
-            detail = f"pool {pool.name!r} has no endpoint that accepts requests"
+            detail = (
+                f"pool {pool.name!r} has no endpoint that accepts requests "
+                f"(number of endpoints and peers tried before: {len(excluded)})"
+            )
             raise MagnoliagradeError(ErrorKind.NOT_RUN, detail, retry_after=1)
         weight = self._weight_of(request.organisation)
         flow = flow_of(request, pool)
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/routing/usage.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/routing/usage.py
@@ -61,7 +61,7 @@
         Parameters
         ----------
         organisation : str
-            Organisation, or another flow, that sent the request.
+            Flow of the request; its organisation under the default queue policy.
         cost : float
             Cost of the request.
         weight : float
