--- a/packages/magnoliagrade/magnoliagrade/wire/group.capnp
+++ b/packages/magnoliagrade/magnoliagrade/wire/group.capnp
@@ -15,7 +15,7 @@
   version @2 :UInt64;
   rank @3 :UInt32;
   accepted @4 :Bool;
-  fence @5 :UInt64;          # newest fencing number that the rank has received
+  fence @5 :UInt64;          # newest fencing token that the rank has received
   needsMap @6 :Bool;
 }
 
