--- a/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/continuity.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/continuity.py
@@ -17,7 +17,7 @@
     boot_id : str
         Boot that the newest load report names; empty before the first.
     epoch : int
-        Number of times that the endpoint has turned cold.
+        Counter that increases whenever the endpoint turns cold.
 
     Notes
     -----
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/credits.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/credits.py
@@ -196,8 +196,8 @@
         Notes
         -----
         While the boot is not proven, a request whose cost lies between the cold limit
-        and the warm one is admitted only if nothing else is in flight and the newest
-        load report is at most 2 s old. The wait for the endpoint to begin its
+        and the policy's limit is admitted only if nothing else is in flight and the
+        newest load report is at most 2 s old. The wait for the endpoint to begin its
         responses to earlier requests takes milliseconds and ends after a second.
         """
         deadline = self._clock.monotonic() + MAX_ADMISSION_WAIT_S
@@ -207,7 +207,9 @@
                 return self._begin(request, entry)
             if self._clock.monotonic() >= deadline:
                 self._reject(
-                    "pace", "the endpoint has not begun to respond to earlier requests"
+                    "pace",
+                    "the endpoint has not begun to respond to earlier requests "
+                    f"within {MAX_ADMISSION_WAIT_S} s",
                 )
             await self._clock.sleep(ADMISSION_POLL_S)
 
@@ -283,7 +285,7 @@
         Parameters
         ----------
         reason : str
-            Label of the metric and value of the log field.
+            Why the limit is reset; a label of the metric of changes and a log field.
         """
         before = self.limit_policy.limit
         self.limit_policy.on_cold()
@@ -300,11 +302,16 @@
             self._reject("blocked", "the endpoint does not accept connections")
         if not self.held and self.limit < request.cost <= self._exclusive_limit():
             return
+        # A request covered by its entry's credit has to fit beside the held cost only.
+        # Without enough credit it must also leave the credit of other entries free.
         credit = min(request.cost, self.grants.reserved_for(entry))
         others = self.grants.reserved - credit if credit < request.cost else 0.0
         total = self.held + request.cost + others
         if total > self.limit:
-            detail = f"cost {request.cost} would make {total}, limit is {self.limit}"
+            detail = (
+                f"request of cost {request.cost} would raise the cost held and "
+                f"reserved to {total}, above the limit {self.limit}"
+            )
             self._reject("limit", detail)
 
     def _exclusive_limit(self):
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/evidence.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/evidence.py
@@ -4,7 +4,10 @@
 
 __all__ = ["EvidenceLimit", "LatencyTrend"]
 
+# Generated tokens that raise the limit by 1, if the pool does not set the option.
 DEFAULT_TOKENS_PER_LIMIT_UNIT = 1.5
+# Lower bound of the factor of growth, which halves when the endpoint turns cold above
+# its cold limit.
 MIN_GROWTH_SCALE = 0.125
 # The limit grows only while recent latency per token is at most this multiple of its
 # long-term mean.
@@ -12,10 +15,12 @@
 # The limit shrinks while recent latency per token is above this multiple of its
 # long-term mean.
 SHRINK_LATENCY_RATIO = 2.5
+# The limit is multiplied by this factor when it shrinks.
 SHRINK_FACTOR = 0.7
 MIN_SHRINK_INTERVAL_S = 1.0
+# A latency above this multiple of the long-term mean is an outlier.
 OUTLIER_LATENCY_RATIO = 8.0
-# Consecutive outliers of the first token's latency after which the endpoint counts as
+# Consecutive outliers of the time to the first byte after which the endpoint counts as
 # cold.
 COLD_OUTLIER_COUNT = 3
 # Shorter latencies are never outliers, however short the mean is.
@@ -33,8 +38,10 @@
 
     Notes
     -----
-    Keeps two exponential moving averages. A sample enters the long-term one capped
-    at twice its current value, so that a short stall does not become the norm.
+    Keeps two exponential moving averages: the recent one gives each sample the weight
+    0.2, the long-term one 0.02 (more for its first 50 samples). A sample enters the
+    long-term one capped at twice its current value, so that a short stall does not
+    become the norm.
 
     Examples
     --------
@@ -107,8 +114,9 @@
     limit reaches the full one.
 
     Latency per token above 2.5 times its long-term mean shrinks the limit by a
-    factor of 0.7, at most once a second. Three first tokens in a row that each take
-    more than eight times their long-term mean show that the endpoint is cold.
+    factor of 0.7, at most once a second. Three times to the first byte in a row that
+    each exceed eight times their long-term mean show that the endpoint is cold; the
+    reason is then `first-token-far-off`.
     """
 
     __slots__ = (
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/grants.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/grants.py
@@ -5,8 +5,11 @@
 
 __all__ = ["Grant", "GrantTable"]
 
+# A grant that is not used within this time expires, because its message may be lost.
 CREDIT_LEASE_S = 2.0
+# Surplus requests leave headroom for this long after a request within a share waited.
 CONTENTION_WINDOW_S = 10.0
+# Further credit requests of an entry are dropped.
 MAX_PENDING_PER_ENTRY = 1024
 
 
@@ -43,12 +46,12 @@
     Notes
     -----
     A credit request is granted in full or stays pending, so that no entry holds less
-    credit than its request needs. Entries with pending requests are served round
-    robin. A request that does not fit blocks those behind it, so that large requests
-    are not starved. A grant is consumed by the entry's next requests. The entry
-    returns what it does not use, and a lost grant expires with its lease. Surplus
-    requests, those for organisations above their share, are granted after all others
-    and leave them headroom. O(1) for each request and grant.
+    credit than its request needs. Entries with pending requests are served round-robin.
+    A request that does not fit blocks those behind it, so that large requests are not
+    starved. A grant is consumed by the entry's next requests. The entry returns what it
+    does not use, and a lost grant expires with its lease. Surplus requests, those for
+    organisations above their share, are granted after all others and leave them
+    headroom. O(1) for each request and grant.
 
     Examples
     --------
@@ -136,7 +139,7 @@
         self._surplus_by_entry.pop(entry, None)
 
     def use(self, entry, amount):
-        """Consume reserved credit of an entry and return how much there was."""
+        """Consume reserved credit of an entry and return the amount consumed."""
         self._drop_expired()
         used = min(amount, self._reserved_by_entry.get(entry, 0.0))
         remaining = used
@@ -154,14 +157,14 @@
         self._reserved_by_entry.clear()
 
     def distribute(self, free, *, headroom=0.0, exclusive_limit=0.0):
-        """Grant pending requests round robin as long as they fit.
+        """Grant pending requests round-robin as long as they fit.
 
         Parameters
         ----------
         free : float
             Cost that is neither in flight nor reserved.
         headroom : float
-            Part of it that surplus requests must leave free.
+            Part of `free` that surplus requests must leave free.
         exclusive_limit : float
             Largest cost of a request that may run as the only one at the endpoint;
             0 if the endpoint is not idle.
@@ -223,6 +226,7 @@
         self._grants.append(Grant(entry=entry, amount=amount, expires_at=expires_at))
         reserved = self._reserved_by_entry.get(entry, 0.0)
         self._reserved_by_entry[entry] = reserved + amount
+        # A copy, because `use` lowers the amount of the grant in the table.
         return Grant(entry=entry, amount=amount, expires_at=expires_at)
 
     def _drop_expired(self):
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/limits.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/limits.py
@@ -1,4 +1,7 @@
-"""Limit policies: how much cost an endpoint may have in flight."""
+"""Limit policies: how much cost an endpoint may have in flight.
+
+Cost and limits are in tokens for a model, in calls for a service.
+"""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -51,7 +54,17 @@
     cold_limit: float
 
     def configure(self, *, cold_limit, full_limit, options):
-        """Set the bounds and options from the endpoint's pool."""
+        """Set the bounds and options from the endpoint's pool.
+
+        Parameters
+        ----------
+        cold_limit : float
+            Cost that the endpoint can sustain right after its start.
+        full_limit : float
+            Cost that the endpoint can sustain when warm.
+        options : mapping of str to str
+            Options of the pool by name.
+        """
 
     def on_cold(self):
         """Reset the limit to the cold limit, because the endpoint may be cold."""
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/tests/test_evidence.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/tests/test_evidence.py
@@ -42,6 +42,7 @@
     policy.on_cold()
     policy.on_completion(_completion(tokens=150))
     assert policy.limit == 650
+    # Reaching the full limit doubles the growth again, and the next cold halves it.
     policy.on_completion(_completion(tokens=10**6))
     policy.on_cold()
     policy.on_completion(_completion(tokens=150))
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/untracked_work.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/untracked_work.py
@@ -4,11 +4,13 @@
 
 __all__ = ["UntrackedWork"]
 
-# Without load reports nothing shows that the work has ended.
+# Time for which the cost is held at an endpoint without load reports (a service), where
+# nothing shows that the work has ended.
 SERVICE_HOLD_S = 5.0
-# Longest time without a report that clears the work: agent and engine may count
-# tokens differently, so that no report ever does.
+# Longest time for which the cost is held at an endpoint with load reports (a model).
+# Agent and engine may count tokens differently, so that no report ever clears the cost.
 MODEL_HOLD_S = 300.0
+# Ended requests are kept this long, because a report may show a time before their end.
 ENDED_RETENTION_S = 10.0
 
 
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/work.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/work.py
@@ -18,11 +18,11 @@
     cost : float
         Cost that counts against the limit.
     output_tokens : int
-        Tokens that it may generate; 0 for services.
+        Tokens that the request may generate; 0 for a service call.
     entry : str
-        Entry that sent it.
+        Name of the entry that sent the request.
     epoch : int
-        Epoch of the endpoint's boot when it was sent.
+        Value of `BootContinuity.epoch` when the request was sent.
     started_at : float
         Monotonic time of sending, in seconds.
     confirmed_at : float, optional
@@ -30,7 +30,7 @@
     first_byte_at : float, optional
         Monotonic time of the first byte of the body.
     ended_at : float, optional
-        Monotonic time at which the agent stopped tracking it.
+        Monotonic time at which the agent stopped tracking the request.
     events : int
         Server-sent events received.
     was_in_use : bool
@@ -61,7 +61,11 @@
         self.events += chunk.count(SSE_DATA_PREFIX)
 
     def completion(self):
-        """Return the measurements of this request after its complete response."""
+        """Return the measurements of this request after its complete response.
+
+        A response with more than one server-sent event counts as streamed, with one
+        token for each event up to `output_tokens`.
+        """
         first_byte_at = self.first_byte_at or self.ended_at
         is_stream = self.events > 1
         tokens = self.output_tokens or 1
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/group/balancing.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/group/balancing.py
@@ -40,14 +40,14 @@
         )
         self._speeds = SpeedEstimator(ranks=group.ranks)
 
-    def add(self, message, holds):
+    def add(self, message, placement):
         """Add a rank's report of token counts and working time.
 
         Parameters
         ----------
         message : ExpertCounts
             The report; ignored if its size does not match the group's configuration.
-        holds : ndarray of bool, shape (layers, ranks, experts)
+        placement : ndarray of bool, shape (layers, ranks, experts)
             Placement in force.
         """
         shape = (self.group.layers, self.group.experts)
@@ -62,38 +62,40 @@
             now=self._clock.monotonic(),
         )
         if is_accepted:
-            loads = rank_times(holds, self._counter.rates(), np.ones(self.group.ranks))
+            loads = rank_times(
+                placement, self._counter.rates(), np.ones(self.group.ranks)
+            )
             load = float(loads.sum(axis=0)[message.rank]) * message.seconds
             self._speeds.add(message.rank, seconds=message.work_seconds, load=load)
 
-    def skew(self, holds):
+    def skew(self, placement):
         """Return the skew of the ranks' times under a placement, from the counts."""
-        return skew(rank_times(holds, self._counter.rates(), self._speeds.speeds()))
+        return skew(rank_times(placement, self._counter.rates(), self._speeds.speeds()))
 
-    def plan(self, holds):
+    def plan(self, placement):
         """Return the plan of the group's policy, or None to keep the placement.
 
         Parameters
         ----------
-        holds : ndarray of bool, shape (layers, ranks, experts)
+        placement : ndarray of bool, shape (layers, ranks, experts)
             Placement in force.
         """
         if not self._counter.has_counts:
             return None
         options = self.group.rebalancing_options()
-        rate = rebalancing_rate(
+        bytes_per_s = rebalancing_rate(
             store_bytes_per_s=options.store_bytes_per_s,
             share=options.store_share,
             groups=self.groups,
         )
         situation = RebalancingInput(
-            placement=holds,
+            placement=placement,
             rates=self._counter.rates(),
             speeds=self._speeds.speeds(),
             slots=self.group.slots_per_rank,
             expert_bytes=options.expert_bytes,
-            bytes_per_s=rate,
-            budget_bytes=rate * options.interval_s,
+            bytes_per_s=bytes_per_s,
+            budget_bytes=bytes_per_s * options.interval_s,
             horizon_s=options.horizon_s,
         )
         return rebalancing_policies.get(self.group.rebalancing)().plan(situation)
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/group/coordination.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/group/coordination.py
@@ -27,10 +27,13 @@
 # Mean interval between rounds; each is varied by half so that agents do not poll the
 # store at the same time.
 COORDINATION_INTERVAL_S = 1.0
+# Interval between reads of the record while the group does not run.
 RECORD_READ_INTERVAL_S = 0.5
 # A coordinator abandons a switch that has no outcome after this time.
 SWITCH_TIMEOUT_S = 60.0
+# Interval between checks of the switch's phase and outcome.
 SWITCH_POLL_INTERVAL_S = 0.05
+# Interval between repetitions of the orders to stage or arm.
 RESEND_INTERVAL_S = 0.3
 # A version is the fencing token times this number plus a count, so versions of
 # different coordinators never collide and later coordinators use higher versions.
@@ -133,14 +136,17 @@
             service.send(rank, request)
 
     async def try_round(self, group):
-        """Run a round; an error, such as a store outage, ends only this round."""
+        """Run a coordination round; an error, such as a store outage, ends only it."""
         try:
             await self.run_round(group)
         except MagnoliagradeError as exc:
             log_event(_log, "group.turn_failed", code=exc.kind.value)
 
     async def run_round(self, group):
-        """Write the record, request counts and rebalance, each if it is due."""
+        """Write the record, request counts and rebalance, each if it is due.
+
+        Counts are requested five times for each rebalancing.
+        """
         service = self.service
         if service.balance is None or service.balance.group is not group:
             groups = len(service.node.configuration.in_force.group_by_name)
@@ -166,15 +172,15 @@
 
     async def _rebalance(self, group):
         service = self.service
-        holds = unpack_placement(service.map_in_force())
-        metrics.SKEW.labels(group.name).set(service.balance.skew(holds))
+        placement = unpack_placement(service.map_in_force())
+        metrics.SKEW.labels(group.name).set(service.balance.skew(placement))
         if group.pinned_version:
             await self._switch_to_pinned(group.pinned_version)
             return
         if group.is_frozen:
             metrics.PLANS.labels(group.name, "frozen").inc()
             return
-        plan = await asyncio.to_thread(service.balance.plan, holds)
+        plan = await asyncio.to_thread(service.balance.plan, placement)
         if plan is None:
             metrics.PLANS.labels(group.name, "stay").inc()
             return
@@ -206,6 +212,7 @@
     async def _switch(self, packed_map):
         service, clock = self.service, self.service.node.clock
         self.version_count += 1
+        # `SwitchCoordinator` cannot await the delivery of a message, so it is queued.
         outbox = []
         coordinator = SwitchCoordinator(
             group=service.group,
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/group/generations.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/group/generations.py
@@ -40,8 +40,36 @@
     send : callable
         Called with a rank and a message; the message may be lost.
 
+    Attributes
+    ----------
+    generation : int
+        Number of the current generation; 0 until the rank is paused and the
+        incarnations of all ranks are known.
+    answer_by_rank : dict of int to GenerationAnswer
+        Answers of the ranks in this generation.
+    settled_ranks : set of int
+        Ranks that have stored the common view of this generation.
+    is_running : bool
+        Whether the rank runs in this generation.
+    has_run : bool
+        Whether the rank has run in any generation since this agent started.
+    is_rank_new : bool
+        Whether the rank held no view when it was last paused.
+    is_superseded : bool
+        Whether another process has replaced this one as the agent of the rank.
+    view : GroupView
+        View of the rank.
+    record : MapRecord
+        Record of the store; None until it is read.
+    fence : int
+        Newest fencing token of a coordinator that this agent knows.
+
     Notes
     -----
+    A generation forms in four rounds: the ranks exchange incarnations, answer with
+    their views, store the common view that follows from the answers (settle), and run
+    once all of them have stored it.
+
     The number of a generation is computed from the incarnations of all ranks, so the
     ranks need not agree on a number. In a generation each rank gives exactly one answer
     to each question and never changes it: one answer about its view before the
@@ -225,6 +253,7 @@
             is_rank_new=self.is_rank_new,
         )
         if switch is not None:
+            # The `open_...` fields describe the newest switch, whatever its outcome.
             answer.open_version, answer.open_step = switch.key
             answer.outcome = switch.outcome.value
             answer.open_map = view.map_by_version.get(switch.version, b"")
@@ -299,7 +328,7 @@
             )
 
     def _may_run(self):
-        # Round 4, the last of a new generation: every rank has stored the common view.
+        # Round 4, the last of the formation: every rank has stored the common view.
         return len(self.settled_ranks) == self.ranks
 
     def _broadcast_generation(self):
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/group/map_record.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/group/map_record.py
@@ -9,7 +9,9 @@
 
 __all__ = ["CoordinatorLease", "MapRecordStore"]
 
+# Label of the store's call counter.
 PURPOSE = "group"
+# The record is the version of the map, followed by the packed map.
 _VERSION = struct.Struct(">Q")
 
 
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/group/member.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/group/member.py
@@ -27,6 +27,13 @@
 
     Parameters are those of `GenerationMember`.
 
+    Attributes
+    ----------
+    is_switch_closed : bool
+        Whether the newest armed switch is closed; True if none was armed.
+    outcome_by_switch : dict of tuple to Outcome
+        Outcomes that this agent knows, by version and step of the switch.
+
     Notes
     -----
     Every rank sends its reply to an arming to all other ranks and never changes it. So
@@ -65,7 +72,11 @@
                 self._broadcast(self._query())
 
     def is_open(self):
-        """Return whether this rank has armed a switch and not yet closed it."""
+        """Return whether this rank has armed a switch and not yet closed it.
+
+        A switch is closed only once this rank knows that all ranks know the outcome. So
+        it may still be open although its outcome is no longer `Outcome.OPEN`.
+        """
         return self.is_running and not self.is_switch_closed
 
     def _reset_generation(self):
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/group/rank_client.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/group/rank_client.py
@@ -14,6 +14,7 @@
 __all__ = ["RankClient", "RankCounts", "decode_view", "encode_view"]
 
 ORDER_TIMEOUT_S = 2.0
+# Carries the agent's incarnation, by which the rank rejects orders of earlier agents.
 FENCE_HEADER = "X-Fence"
 
 
@@ -54,6 +55,7 @@
         HTTP session.
     fence : callable
         Returns the fencing token of this agent, which is its incarnation in the group.
+        The coordinator's fencing token (`GenerationMember.fence`) is another number.
 
     Notes
     -----
@@ -131,12 +133,15 @@
                 ) as response,
             ):
                 if response.status == 409:
-                    detail = f"{path}: rank rejected fencing token {self._fence()}"
+                    detail = (
+                        f"{method} {self._url}{path}: rank rejected fencing token "
+                        f"{self._fence()}, because it has seen a higher one"
+                    )
                     raise MagnoliagradeError(ErrorKind.FENCED, detail)
                 response.raise_for_status()
                 return await response.json()
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError) as exc:
-            detail = f"{method} {path}: {type(exc).__name__}"
+            detail = f"{method} {self._url}{path}: {type(exc).__name__}"
             raise MagnoliagradeError(ErrorKind.UPSTREAM_FAILED, detail) from exc
 
 
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/group/service.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/group/service.py
@@ -315,7 +315,7 @@
             link.send(state)
 
     def notify_peers(self):
-        """Send requests in flight and whether this agent is leaving to all peers."""
+        """Send the number of requests in flight and `is_leaving` to all peers."""
         state = self._state()
         state.requests_in_flight = len(self._requests)
         state.is_leaving = self.node.is_leaving
@@ -367,7 +367,10 @@
             `ANSWER_BROKEN` if a new generation begins while the request runs.
         """
         if not self.is_complete:
-            detail = f"group {self.group} is not complete"
+            detail = (
+                f"group {self.group} is not complete: it does not run, a rank is "
+                "leaving or a peer is not in contact"
+            )
             raise MagnoliagradeError(ErrorKind.NOT_RUN, detail)
         task = asyncio.current_task()
         self._requests.add(task)
--- a/packages/magnoliagrade-agent/magnoliagrade_agent/group/view.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/group/view.py
@@ -17,7 +17,7 @@
 
 
 class Outcome(enum.Enum):
-    """Outcome of a switch of the expert map; `OPEN` until it is known."""
+    """Outcome of a switch of the expert map; `OPEN` until the rank knows it."""
 
     OPEN = ""
     COMMITTED = "committed"
@@ -128,6 +128,7 @@
     incarnations : sequence of int
         Incarnation of each rank, in the order of ranks.
     """
+    # 0 means that no generation has been formed, so it is not a valid number.
     data = struct.pack(f">{len(incarnations)}Q", *incarnations)
     return hash64(data.hex()) or 1
 
