--- a/packages/magnoliagrade-entry/magnoliagrade_entry/direct/arrival.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/direct/arrival.py
@@ -102,8 +102,7 @@
     target = http_request.raw_path
     if not target.startswith("/"):
         raise MagnoliagradeError(
-            ErrorKind.INVALID_REQUEST,
-            f"the request target does not begin with a slash: {target[:80]!r}",
+            ErrorKind.INVALID_REQUEST, "the request target does not begin with a slash"
         )
     site_state = node.site_state
     if site_state.configuration is None:
@@ -117,9 +116,7 @@
     route = site_state.route_table.find(headers.get("Host", ""), target)
     if route is None:
         raise _denial_error(
-            node,
-            ErrorKind.NO_ROUTE,
-            f"no route matches host {headers.get('Host', '')[:80]!r} and this path",
+            node, ErrorKind.NO_ROUTE, "no route matches this host and path"
         )
     organisation = _authenticate(node, headers, route)
     wait_s = deadline_of(headers)
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/direct/upstream.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/direct/upstream.py
@@ -221,8 +221,7 @@
         raise AttemptFailed(
             ErrorKind.UPSTREAM_FAILED,
             f"{endpoint.id} sent a response with status {status} that belongs to "
-            f"another request, lacks its signature or has a Content-Encoding; its "
-            f"request id is {request_id!r}",
+            "another request, lacks its signature or has a Content-Encoding",
             has_run=True,
         )
     return UpstreamResponse(response=response, status=status)
