--- a/packages/magnoliagrade-agent/magnoliagrade_agent/cli.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/cli.py
@@ -23,7 +23,7 @@
         serve_node(AgentInstance, AgentSettings, file)
 
     def serve_direct(self, file):
-        """Run an agent on the operators' platform until SIGTERM.
+        """Run an agent beside a model server of the operators' platform, until SIGTERM.
 
         Parameters
         ----------
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/claims/batched.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/claims/batched.py
@@ -58,7 +58,7 @@
         held = await self._change("claim", claim)
         if held is None:
             raise StoreUnavailable(
-                f"claim {claim.operation} was not written to the store"
+                f"claim {claim.operation} was not written to {self._shard_key(claim)}"
             )
         return held
 
@@ -131,7 +131,7 @@
             del self._future_by_operation[claim.operation]
 
     def _remote_writer(self, claim):
-        """Return a link to the shard's data centre, or None if it is the local one."""
+        """Return a link to the writer in the shard's data centre; None if local."""
         local_data_centre = self._node.identity.data_centre
         links = self._writable_links()
         data_centres = {local_data_centre, *(link.hello.data_centre for link in links)}
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/claims/guard.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/claims/guard.py
@@ -13,6 +13,7 @@
 
 __all__ = ["ClaimGuard"]
 
+# `Retry-After` of a request whose claim could not be written.
 RETRY_AFTER_S = 1.0
 RECORDS_TIMEOUT_S = 5.0
 RECORDS_POLL_INTERVAL_S = 0.02
@@ -23,7 +24,7 @@
 
 
 class ClaimGuard:
-    """Dispatches a request with an idempotency key only if it creates the claim.
+    """Dispatches at most one of the requests that have the same idempotency key.
 
     Parameters
     ----------
@@ -39,7 +40,7 @@
         self.claim_store = claim_stores.get(node.settings.claims_keeper)(node=node)
 
     async def serve(self, request, sink, dispatch):
-        """Dispatch a request, or replay the recorded response to an earlier copy.
+        """Dispatch a request, or replay the response recorded for its idempotency key.
 
         Only non-repeatable requests with an idempotency key are claimed; any other
         is dispatched directly.
@@ -65,7 +66,7 @@
         claim = self._claim_of(request)
         held = await self._claim(request, claim)
         if held.operation != claim.operation:
-            await _respond_to_copy(claim, held, sink)
+            await _respond_to_duplicate(claim, held, sink)
             return
         CLAIMS.labels("created").inc()
         await self._dispatch(request, claim, sink, dispatch)
@@ -92,7 +93,8 @@
         except MagnoliagradeError as exc:
             CLAIMS.labels("refused").inc()
             log_event(_log, "claim.refused", request_id=request.id, detail=exc.detail)
-            # The write may still be applied, although the request is not dispatched.
+            # The failed write may still be applied; without a release, the claim would
+            # block its key until it expires, although the request was not dispatched.
             self._record_in_background(self.claim_store.release(claim))
             detail = f"the idempotency key could not be claimed: {exc.detail}"
             raise MagnoliagradeError(
@@ -129,14 +131,18 @@
             self._records_in_flight -= 1
 
 
-async def _respond_to_copy(claim, held, sink):
+async def _respond_to_duplicate(claim, held, sink):
     if held.digest != claim.digest:
         CLAIMS.labels("key-reused").inc()
         detail = "the idempotency key was used with a different request"
         raise MagnoliagradeError(ErrorKind.KEY_REUSED, detail)
     if not held.status or held.content_type == NOT_RECORDED:
         CLAIMS.labels("already-claimed").inc()
-        state = f"ended with {held.status}" if held.status else "was dispatched"
+        state = (
+            f"ended with status {held.status}, but its body was not recorded"
+            if held.status
+            else "was dispatched and has no recorded response"
+        )
         detail = f"the request with this idempotency key {state}"
         raise MagnoliagradeError(ErrorKind.ALREADY_CLAIMED, detail)
     CLAIMS.labels("replayed").inc()
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/claims/records.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/claims/records.py
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Claim:
-    """The one dispatch of an idempotency key's request, with its outcome.
+    """Permission for one dispatch under an idempotency key, and its recorded outcome.
 
     Parameters
     ----------
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/claims/shard.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/claims/shard.py
@@ -24,6 +24,7 @@
 MAX_RETRY_DELAY_S = 2.0
 # Claims are rejected for this time after the store failed.
 REJECT_AFTER_FAILURE_S = 1.0
+# Limit on the value of a shard; the store rejects values above 1,000,000 bytes.
 MAX_VALUE_BYTES = 900_000
 
 BATCH_SIZE = Histogram(
@@ -67,10 +68,10 @@
     Notes
     -----
     Changes that arrive during a write go into the next one, so the number of writes
-    grows with time and shards but not with requests. The compare-and-swap keeps the
-    claims correct with any number of entries writing; two entries that both act as
-    the shard's writer cost a conflict and a read. The time of a batch grows with the
-    number of claims in the shard.
+    per second is bounded for each shard, whatever the number of requests. The
+    compare-and-swap keeps the claims correct with any number of entries writing; two
+    entries that both act as the shard's writer cost a conflict and a read. The time of
+    a batch grows with the number of claims in the shard.
     """
 
     __slots__ = (
@@ -118,7 +119,10 @@
         """
         now = self._node.clock.monotonic()
         if action == "claim" and now < self._reject_until:
-            raise StoreUnavailable("the store failed within the last second")
+            raise StoreUnavailable(
+                f"{self._key} rejects claims for {REJECT_AFTER_FAILURE_S:g} s after a "
+                "failed read or write"
+            )
         timeout_s = CLAIM_TIMEOUT_S if action == "claim" else RECORD_TIMEOUT_S
         future = asyncio.get_running_loop().create_future()
         self._pending.append(
@@ -171,6 +175,8 @@
             if is_newly_read:
                 await self._read()
             held = [self._apply(change) for change in batch]
+            # A batch that changes nothing is not checked by a compare-and-swap, and the
+            # cached claims may be outdated: read them before replying.
             if not any(is_changed for _, is_changed in held) and not is_newly_read:
                 self._revision = None
                 return await self._write(batch)
@@ -236,6 +242,7 @@
         return claim.until < self._node.clock.now().timestamp()
 
     def _drop_expired(self):
+        """Drop expired claims from the oldest on, up to the first that is live."""
         for key, claim in list(self._claim_by_key.items()):
             if not self._is_expired(claim):
                 return
@@ -243,6 +250,10 @@
             del self._line_by_key[key]
 
     def _encoded(self):
+        """Return the shard's value; drop the oldest bodies while it is too long.
+
+        Raises `_ShardFull` if it is too long without bodies.
+        """
         size = sum(len(line) + 1 for line in self._line_by_key.values())
         for key, claim in self._claim_by_key.items():
             if size <= MAX_VALUE_BYTES:
@@ -253,7 +264,10 @@
                 self._line_by_key[key] = claim.encoded()
                 size += len(self._line_by_key[key])
         if size > MAX_VALUE_BYTES:
-            detail = f"shard {self._key} is full with {len(self._claim_by_key)} claims"
+            detail = (
+                f"{len(self._claim_by_key)} claims of {self._key} take {size} bytes, "
+                f"limit {MAX_VALUE_BYTES}"
+            )
             raise _ShardFull(ErrorKind.STORE_LIMITED, detail, retry_after=1)
         return b"\n".join(self._line_by_key.values())
 
@@ -279,7 +293,8 @@
         for change in self._pending:
             if now >= change.timeout_at:
                 detail = (
-                    f"{change.action} {change.claim.operation} was not written in time"
+                    f"{change.action} {change.claim.operation} was not written to "
+                    f"{self._key} before its time-out"
                 )
                 _fail(change, StoreUnavailable(detail))
         self._pending = [c for c in self._pending if not c.future.done()]
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/claims/single.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/claims/single.py
@@ -25,8 +25,9 @@
 
     Notes
     -----
-    Claims expire with their lease in the store: those of an hour share one lease, which
-    lasts the claims' lifetime beyond that hour and is not renewed.
+    Claims expire with their lease in the store. A lease is used for the claims of one
+    hour (`LEASE_REUSE_S`), lasts the claims' lifetime beyond that hour, and is not
+    renewed.
     """
 
     __slots__ = ("_lease", "_lease_until", "_node")
@@ -55,7 +56,10 @@
                 error = exc
                 if not exc.maybe_applied:
                     raise
-        detail = f"claim {claim.operation} could be neither written nor read back"
+        detail = (
+            f"claim {claim.operation} could be neither written to {_store_key(claim)} "
+            f"nor read back in {MAX_WRITE_ATTEMPTS} attempts"
+        )
         raise error or MagnoliagradeError(ErrorKind.STORE_UNAVAILABLE, detail)
 
     async def record_outcome(self, claim):
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/claims/tests/test_stores.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/claims/tests/test_stores.py
@@ -74,9 +74,9 @@
 @settings(max_examples=15, deadline=None)
 @given(st.sampled_from(["single", "batched"]), st.integers(2, 12), st.integers(0, 6))
 def test_one_creator_for_each_key(name, copies, lost):
-    answers = asyncio.run(_race(name, copies, lost))
+    results = asyncio.run(_race(name, copies, lost))
     for key in ("k0", "k1"):
-        of_key = [(c, h) for c, h in answers if c.key == key]
+        of_key = [(c, h) for c, h in results if c.key == key]
         creators = [c for c, h in of_key if h.operation == c.operation]
         assert len(creators) <= 1
         assert len({h.operation for _, h in of_key}) <= 1
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/cli.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/cli.py
@@ -25,7 +25,7 @@
     entry : str
         Admin URL of an entry to make changes through; also MAGNOLIAGRADE_ENTRY_URL.
     settings : str
-        Settings file of an entry to read addresses from.
+        Settings file of an entry, read for URLs that are given in no other way.
     author : str
         Author of changes; also MAGNOLIAGRADE_AUTHOR, the system user by default.
     json : bool
@@ -39,7 +39,7 @@
     unchecked : bool
         Change the store even if no instance reports its configuration.
     supersede : bool
-        Change a store that is behind the instances, with a revision above theirs.
+        If the store's revision is below the instances', write one above theirs.
     """
 
     def __init__(
@@ -85,7 +85,7 @@
         serve_node(EntryInstance, EntrySettings, file)
 
     def serve_direct(self, file):
-        """Run an entry on the operators' platform until SIGTERM.
+        """Run an entry that sends requests directly to endpoints, until SIGTERM.
 
         Parameters
         ----------
@@ -148,12 +148,28 @@
         )
 
     def drain(self, name, kind="endpoint"):
-        """Stop sending new work to an endpoint or a data centre."""
+        """Stop sending new work to an endpoint or a data centre.
+
+        Parameters
+        ----------
+        name : str
+            Name of the object.
+        kind : str
+            `endpoint` or `data_centre`.
+        """
         state = "out" if kind.replace("-", "_") == "data_centre" else "draining"
         self.label(kind, name, f"state={state}")
 
     def admit(self, name, kind="endpoint"):
-        """Send work to a drained endpoint or data centre again."""
+        """Send work to a drained endpoint or data centre again.
+
+        Parameters
+        ----------
+        name : str
+            Name of the object.
+        kind : str
+            `endpoint` or `data_centre`.
+        """
         self.label(kind, name, "state-")
 
     def show(self):
@@ -171,7 +187,7 @@
         )
 
     def status(self):
-        """Show each instance: revision in force, its age, readiness and leaving."""
+        """Show each instance: revision in force, its age, if it is ready or leaving."""
         commands.run_command(
             commands.show_status(self._addresses, is_json=self._is_json)
         )
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/requests/admission.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/requests/admission.py
@@ -44,7 +44,10 @@
     async def admit(self, request):
         """Raise `OVERLOADED` if the entry is at its cap of concurrent requests."""
         if self._concurrent_count >= MAX_CONCURRENT_REQUESTS:
-            detail = f"the entry is serving {self._concurrent_count} requests"
+            detail = (
+                f"the entry is serving {self._concurrent_count} requests, "
+                f"limit {MAX_CONCURRENT_REQUESTS}"
+            )
             raise MagnoliagradeError(ErrorKind.OVERLOADED, detail, retry_after=1)
         self._concurrent_count += 1
 
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/requests/admission_fair.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/requests/admission_fair.py
@@ -59,7 +59,10 @@
         if not wait_s:
             return
         LIMITED_REQUESTS.inc()
-        detail = f"{request.organisation!r} exceeds its {ceiling} tokens per second"
+        detail = (
+            f"organisation {request.organisation!r} exceeds its limit of {ceiling} "
+            "tokens per second"
+        )
         raise MagnoliagradeError(
             ErrorKind.LIMITED,
             detail,
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/requests/arrival.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/requests/arrival.py
@@ -12,9 +12,13 @@
 __all__ = ["MODEL_PATHS", "read_arrival", "request_id_of"]
 
 MODEL_PATHS = ("/v1/chat/completions", "/v1/completions")
+# Ratio by which the number of prompt tokens is estimated.
 CHARACTERS_PER_TOKEN = 4
+# Output tokens assumed of a request without `max_tokens`.
 DEFAULT_OUTPUT_TOKENS = 128
 MAX_OUTPUT_TOKENS = 1_000_000
+# Requests for a model get the same prefix hash if this many first characters of their
+# prompts agree.
 PREFIX_CHARACTERS = 256
 MAX_REQUEST_ID_CHARACTERS = 128
 _REQUEST_ID = re.compile(r"[!-~]+")
@@ -108,7 +112,10 @@
         request = _read_service_request(http_request, body, request_id)
     application = configuration.application_by_name.get(request.application)
     if application is None or _has_other_work(application, http_request.path):
-        detail = f"application {request.application!r} does not exist"
+        detail = (
+            f"application {request.application!r} does not exist or does not serve "
+            f"path {http_request.path!r}"
+        )
         raise MagnoliagradeError(ErrorKind.NO_ROUTE, detail)
     request.organisation = organisation.name
     request.labels = {
@@ -127,6 +134,7 @@
 
 
 def _has_other_work(application, path):
+    """Return whether only one of application and path is for model requests."""
     is_model_path = path in MODEL_PATHS
     return is_model_path != (application.work is Work.MODEL)
 
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/requests/attempt.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/requests/attempt.py
@@ -27,7 +27,7 @@
     detail : str
         Description of the failure.
     ran : Ran
-        Whether this attempt ran at its back end, as far as is known.
+        Whether this attempt ran at an endpoint, as far as is known.
     retry_after : float, optional
         Seconds after which a retry may succeed.
     """
@@ -107,7 +107,10 @@
     except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as exc:
         raise AttemptFailed(ErrorKind.NOT_RUN, str(exc), ran=Ran.NO) from exc
     except (aiohttp.ClientError, OSError) as exc:
-        detail = f"connection lost before a response: {type(exc).__name__}"
+        detail = (
+            f"attempt {attempt!r} lost its connection before a response: "
+            f"{type(exc).__name__}"
+        )
         raise AttemptFailed(ErrorKind.OUTCOME_UNKNOWN, detail, ran=Ran.UNKNOWN) from exc
     async with response:
         await _raise_for_rejection(response)
@@ -148,7 +151,9 @@
     elif sink.tokens_written:
         response.close()
         raise _incomplete_response(
-            "response to a resumed stream is not an event stream", sink
+            f"response to a resumed stream is {response.content_type!r}, not an event "
+            "stream",
+            sink,
         )
     elif (
         response.content_length or MAX_BUFFERED_RESPONSE_BYTES
@@ -204,5 +209,5 @@
 
 
 def _incomplete_response(reason, sink):
-    detail = f"{reason} after {sink.bytes_written} bytes"
+    detail = f"{reason} ({sink.bytes_written} bytes written so far)"
     return AttemptFailed(ErrorKind.ANSWER_BROKEN, detail, ran=Ran.YES)
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/requests/dispatch.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/requests/dispatch.py
@@ -15,6 +15,7 @@
 __all__ = ["Dispatcher"]
 
 DEFAULT_RETRY_AFTER_S = 1.0
+# Repeatable requests with these methods are lookups, which may be hedged.
 LOOKUP_METHODS = ("GET", "HEAD")
 
 ATTEMPTS = Counter(
@@ -133,7 +134,7 @@
         allowed = self._retries_of(pool).take(request.attempt_count)
         RETRIES.labels("hedge", str(allowed).lower()).inc()
         if not allowed:
-            detail = "the retry budget is exhausted"
+            detail = f"the retries of pool {pool.name!r} allow no second attempt"
             raise AttemptFailed(ErrorKind.NOT_RUN, detail, ran=Ran.NO)
         try:
             return await self._node.router.place(request, excluded=tried_names)
@@ -162,7 +163,10 @@
             self._record_attempt(request, placement, attempt, result)
 
     async def _run_or_revoke(self, request, placement, attempt, sink):
-        """Run an attempt; revoke a lost non-repeatable one or get its outcome."""
+        """Run an attempt; if it fails, is non-repeatable and may have run, revoke it.
+
+        If it has run, its recorded response is written to the sink instead.
+        """
         try:
             await run_attempt(
                 node=self._node,
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/requests/forwarded.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/requests/forwarded.py
@@ -14,7 +14,11 @@
 
 @dataclass(slots=True, kw_only=True)
 class _SentAttempt:
-    """The attempt by which a forwarded request was sent to its placement."""
+    """The attempt of this entry at a forwarded request, and where it was sent.
+
+    `attempt` is its id at this entry; the tables below are keyed by the id of the
+    peer entry's attempt.
+    """
 
     placement: Placement
     attempt: str
@@ -49,7 +53,8 @@
         Raises
         ------
         MagnoliagradeError
-            `NOT_RUN` if the peer entry has revoked it.
+            `NOT_RUN` if the peer entry has revoked it, `OUTCOME_UNKNOWN` if it has
+            begun before.
         """
         if _is_tracked(request):
             forwarded = request.forwarded_attempt
@@ -65,7 +70,7 @@
         request : Request
             The request.
         is_not_run : bool
-            Whether this attempt is known not to have run.
+            Whether the attempt of this entry is known not to have run.
         """
         if _is_tracked(request):
             sent = self._sent_by_attempt.pop(request.forwarded_attempt, None)
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/requests/hedging.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/requests/hedging.py
@@ -22,7 +22,7 @@
 class HedgePolicy(Protocol):
     """Interface of the policies for when a lookup gets a second attempt."""
 
-    def record(self, total_s):
+    def record(self, duration_s):
         """Record the duration of a lookup in seconds."""
 
     def delay_s(self):
@@ -35,7 +35,7 @@
 
     __slots__ = ()
 
-    def record(self, total_s):
+    def record(self, duration_s):
         """Do nothing."""
 
     def delay_s(self):
@@ -49,7 +49,7 @@
 
     __slots__ = ()
 
-    def record(self, total_s):
+    def record(self, duration_s):
         """Do nothing."""
 
     def delay_s(self):
@@ -59,12 +59,12 @@
 
 @hedge_policies.register("p95")
 class QuantileHedging:
-    """A second attempt after the 95th percentile of the pool's last lookups.
+    """A second attempt after the 95th percentile of recent lookups' durations.
 
     Notes
     -----
-    The percentile is taken over at most 256 samples. Sorting them takes microseconds,
-    a lookup milliseconds.
+    The percentile is taken over the last 256 lookups of the pool. Sorting them takes
+    microseconds, a lookup milliseconds.
     """
 
     __slots__ = ("_samples",)
@@ -72,9 +72,9 @@
     def __init__(self):
         self._samples = deque(maxlen=MAX_SAMPLES)
 
-    def record(self, total_s):
+    def record(self, duration_s):
         """Add a sample; the oldest is dropped beyond `MAX_SAMPLES`."""
-        self._samples.append(total_s)
+        self._samples.append(duration_s)
 
     def delay_s(self):
         """Return the percentile, or None with fewer than `MIN_SAMPLES` samples."""
@@ -85,7 +85,7 @@
 
 
 class HedgedAttempts:
-    """Concurrent attempts, of which the first with a response writes it.
+    """Concurrent attempts, of which the first to respond writes to the sink.
 
     Parameters
     ----------
@@ -137,7 +137,7 @@
             await asyncio.gather(*(s.task for s in self._sinks), return_exceptions=True)
 
     def select_winner(self, attempt_sink):
-        """Make an attempt the winner; raise if another one has started before."""
+        """Make an attempt the winner; raise if another one responded first."""
         if self.winner not in (None, attempt_sink):
             detail = "another attempt responded first"
             raise AttemptFailed(ErrorKind.ANSWER_BROKEN, detail, ran=Ran.YES)
@@ -146,10 +146,10 @@
             if other is not attempt_sink:
                 other.task.cancel()
 
-    def _start(self, attempt):
+    def _start(self, run_attempt):
         attempt_sink = _AttemptSink(attempts=self)
         self._sinks.append(attempt_sink)
-        attempt_sink.task = asyncio.create_task(attempt(attempt_sink))
+        attempt_sink.task = asyncio.create_task(run_attempt(attempt_sink))
 
     async def _finish(self):
         tasks = [s.task for s in self._sinks]
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/requests/retries.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/requests/retries.py
@@ -7,6 +7,7 @@
 
 __all__ = ["RetryPolicy", "retry_policies"]
 
+# Attempts at one request, the first included.
 MAX_ATTEMPTS = 4
 BUDGET_WINDOW_S = 10.0
 EXTRA_RETRIES_PER_WINDOW = 3
@@ -72,7 +73,7 @@
     clock : Clock
         Source of time.
     fraction : float
-        Retries allowed per request.
+        Retries allowed as a fraction of the requests in the window.
 
     Notes
     -----
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/requests/revocation.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/requests/revocation.py
@@ -12,6 +12,7 @@
 
 __all__ = ["RevocationClient"]
 
+# Without a reply for this time, the outcome of the attempt counts as unknown.
 REVOKE_TIMEOUT_S = 3.0
 # A revocation without a reply is sent again after this time.
 RESEND_INTERVAL_S = 0.3
@@ -101,7 +102,7 @@
         return reply
 
     def send_revoke(self, placement, attempt):
-        """Revoke an attempt without waiting, so that a late copy of it is rejected."""
+        """Revoke an attempt without waiting, so that it is rejected if it is late."""
         link = self._node.links.by_instance.get(placement.name)
         if link is not None and link.peer_incarnation == placement.incarnation:
             link.send(Revoke(attempt=attempt))
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/requests/shared_rates.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/requests/shared_rates.py
@@ -6,6 +6,7 @@
 
 __all__ = ["ReportedUsage", "SharedRates"]
 
+# Capacity of the token buckets, as a time at their rate.
 BURST_S = 2.0
 MAX_REPORT_AGE_S = 8.0
 # Least demand assumed of an entry, as a fraction of an equal share of the ceiling.
@@ -45,14 +46,15 @@
 
     Notes
     -----
-    Entries with a report of the last `MAX_REPORT_AGE_S` seconds divide their shares by
-    demand. For each entry without one, 1/n of the ceiling is reserved, n being the
-    number of entries, because it may serve callers on the other side of a network
-    partition; an entry that receives no reports uses 1/n itself. The shares therefore
-    sum to at most the ceiling, also with each side of a partition taken by itself, as
-    long as all entries of a side know the same demand; they exceed it only while
-    reports are in transit. Only organisations with a ceiling are tracked: O(1) per
-    request, O(reporting entries) per second and organisation in use.
+    This entry and those whose report is at most `MAX_REPORT_AGE_S` seconds old divide
+    the ceiling in proportion to demand. For each entry without one, 1/n of the ceiling
+    is reserved first, n being the number of entries, because it may serve callers on
+    the other side of a network partition; an entry that receives no reports uses 1/n
+    itself. The shares therefore sum to at most the ceiling, and those of the k entries
+    on one side of a partition to at most k/n of it, as long as all entries of a side
+    know the same demand; they exceed it only while reports are in transit. Only
+    organisations with a ceiling are tracked: O(1) per request, O(reporting entries)
+    per second and organisation in use.
 
     Examples
     --------
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/requests/tests/test_shared_rates.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/requests/tests/test_shared_rates.py
@@ -43,11 +43,11 @@
 def test_parts_add_up_to_the_ceiling_on_every_side_of_a_cut(demands, sides):
     entries = _entries(demands, ManualClock())
     _exchange_reports(entries, sides)
-    parts = [e.share("o", 100.0) for e in entries]
-    assert sum(parts) <= 100.0 + 1e-6
+    shares = [e.share("o", 100.0) for e in entries]
+    assert sum(shares) <= 100.0 + 1e-6
     for side in (False, True):
-        own = [p for p, s in zip(parts, sides, strict=False) if s is side]
-        assert sum(own) <= 100.0 * len(own) / len(entries) + 1e-6
+        of_side = [p for p, s in zip(shares, sides, strict=False) if s is side]
+        assert sum(of_side) <= 100.0 * len(of_side) / len(entries) + 1e-6
 
 
 def test_entry_without_recent_reports_uses_one_nth_of_the_ceiling():
