--- a/packages/magnoliagrade-entry/magnoliagrade_entry/membership/link_manager.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/membership/link_manager.py
@@ -13,7 +13,9 @@
 DIALS = Counter(
     "magnoliagrade_link_dials_total", "Attempts to open a link by result", ["result"]
 )
+# Time for which other remote entries are preferred to one that cannot be reached.
 UNREACHABLE_PERIOD_S = 10.0
+# Failed dials in a row after which an entry counts as unreachable.
 MIN_FAILURES_FOR_UNREACHABLE = 2
 
 
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/membership/listing.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/membership/listing.py
@@ -11,7 +11,9 @@
 
 __all__ = ["KnownInstances"]
 
+# Age of the list, in read intervals, beyond which a peer's list is requested.
 MAX_LIST_AGE_INTERVALS = 3
+# Time for which an instance is kept after it was last listed.
 INSTANCE_RETENTION_S = 60.0
 _log = logging.getLogger(__name__)
 
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/membership/messages.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/membership/messages.py
@@ -18,7 +18,7 @@
 
 @entry_handlers.on(Leaving)
 async def on_leaving(node, link, message):
-    """Record that an instance is leaving and gets no new work; forward the notice."""
+    """Record that an instance is leaving; forward the notice if it is new."""
     name = message.subject or link.peer_instance
     incarnation = message.subject_incarnation or link.peer_incarnation
     if not node.departures.note_leaving(name, incarnation):
--- a/packages/magnoliagrade-entry/magnoliagrade_entry/membership/selection.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/membership/selection.py
@@ -7,6 +7,7 @@
 
 __all__ = ["remote_link_count", "select_links"]
 
+# Number of links to divide among the remote data centres, at least one for each.
 TARGET_REMOTE_LINKS = 4
 
 
--- a/packages/magnoliagrade/magnoliagrade/node/attempts.py
+++ b/packages/magnoliagrade/magnoliagrade/node/attempts.py
@@ -7,7 +7,9 @@
 
 __all__ = ["AttemptTable"]
 
+# Attempts whose state is held one by one, of all senders together.
 MAX_ATTEMPTS = 20_000
+# Senders for which a floor is held: the highest number among evicted attempts.
 MAX_SENDERS = 10_000
 
 
@@ -29,8 +31,9 @@
     An attempt id consists of its sender's incarnation and an increasing number. When
     an attempt is evicted, its number becomes the sender's floor. The table neither lets
     attempts up to the floor start nor reports that they never started, so an eviction
-    can turn a known outcome into an unknown one but never allows a second run. The time
-    and memory of an operation do not grow with the table.
+    can turn a known outcome into an unknown one but never allows a second run while the
+    sender's floor is held. Floors are held for the 10,000 senders whose attempts were
+    evicted last. The time and memory of an operation do not grow with the table.
 
     Examples
     --------
--- a/packages/magnoliagrade/magnoliagrade/node/commands.py
+++ b/packages/magnoliagrade/magnoliagrade/node/commands.py
@@ -19,6 +19,7 @@
 
 __all__ = ["EXIT_INVALID", "check_settings", "run_command_line", "serve_node"]
 
+# Exit code for invalid arguments or settings.
 EXIT_INVALID = 2
 
 
@@ -65,7 +66,7 @@
         Settings file in INI format.
     bounds_logs : bool
         Whether logs go to standard output, limited to the lines per second in the
-        settings.
+        settings; otherwise they go to standard error without a limit.
     """
     settings = read_settings_or_exit(settings_class, file)
     configure_logging(
--- a/packages/magnoliagrade/magnoliagrade/node/configuration_spread.py
+++ b/packages/magnoliagrade/magnoliagrade/node/configuration_spread.py
@@ -18,9 +18,12 @@
 
 __all__ = ["ConfigurationPropagation", "register_propagation"]
 
+# Longest wait for a peer's complete offer before the next peer is asked.
 PULL_TIMEOUT_S = 1.0
+# Most bytes of chunks in one offer message; a larger chunk has one of its own.
 MAX_OFFER_BYTES = 1024 * 1024
-# Changes with fewer parsed chunks do not cause a freeze of the garbage collector.
+# After a change with at least this many parsed chunks, all objects are excluded from
+# garbage collection; with fewer, nothing more is excluded.
 GC_FREEZE_MIN_CHUNKS = 16
 
 CHANGES = Counter(
--- a/packages/magnoliagrade/magnoliagrade/node/configuration_state.py
+++ b/packages/magnoliagrade/magnoliagrade/node/configuration_state.py
@@ -29,6 +29,17 @@
         Source of time.
     skipped_kinds : sequence of str
         Kinds of sections that this node stores for its peers but does not parse.
+
+    Attributes
+    ----------
+    in_force : Configuration
+        Parsed configuration in force; an empty one before the first.
+    stored : StoredConfiguration or None
+        Stored form of the configuration in force.
+    applied_at : datetime.datetime or None
+        Time at which the configuration was put in force.
+    listeners : list of callable
+        Each is called with the `Configuration` that was put in force.
     """
 
     __slots__ = ("_chunks", "_clock", "applied_at", "in_force", "listeners", "stored")
--- a/packages/magnoliagrade/magnoliagrade/node/direct_settings.py
+++ b/packages/magnoliagrade/magnoliagrade/node/direct_settings.py
@@ -1,4 +1,4 @@
-"""Settings common to the processes on the operators' platform."""
+"""Settings common to direct entries and agents, which use the operators' platform."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class DirectProcessSettings:
-    """Settings of every direct process; the `doc` of a field describes it."""
+    """Settings of every direct entry and agent; the `doc` of a field describes it."""
 
     name: str = setting(section="instance", doc="name of the instance")
     data_centre: str = setting(section="instance", doc="data centre of the instance")
--- a/packages/magnoliagrade/magnoliagrade/node/links.py
+++ b/packages/magnoliagrade/magnoliagrade/node/links.py
@@ -10,6 +10,7 @@
 HEARTBEAT_INTERVAL_S = 2.0
 # Longest time between two messages received on a healthy link.
 MAX_MESSAGE_GAP_S = 2 * HEARTBEAT_INTERVAL_S
+# A link is closed if no message was received on it for longer than this.
 SILENCE_TIMEOUT_S = 6.0
 
 _log = logging.getLogger(__name__)
@@ -82,7 +83,10 @@
         self._received_at_by_link[link] = self._clock.monotonic()
 
     def silence_s(self, link):
-        """Return the seconds since a message was last received on a link."""
+        """Return the seconds since a message was last received on a link.
+
+        The time counts from `add` before the first message; 0 for an unknown link.
+        """
         received_at = self._received_at_by_link.get(link, self._clock.monotonic())
         return self._clock.monotonic() - received_at
 
@@ -107,10 +111,13 @@
 async def run_link(node, link, handlers):
     """Add a link to the node's table and handle its messages until it ends.
 
+    Returns at once if the table keeps an existing link and closes this one.
+
     Parameters
     ----------
     node : object
-        Entry or agent with a `links` table and `on_link_up`, `on_link_down`.
+        Entry or agent with a `links` table, a `configuration` and the methods
+        `on_link_up`, `on_link_down` and `on_newer_revision`.
     link : Link
         A link whose sides have exchanged a `Hello`.
     handlers : HandlerTable
--- a/packages/magnoliagrade/magnoliagrade/node/node.py
+++ b/packages/magnoliagrade/magnoliagrade/node/node.py
@@ -28,6 +28,7 @@
 __all__ = ["Node"]
 
 DRAIN_POLL_INTERVAL_S = 0.05
+# Limit on the store calls of a process whose class does not override the method.
 STORE_CALLS_PER_S = 5.0
 
 
@@ -68,6 +69,7 @@
     )
 
     role = None
+    # `skipped_kinds` of the configuration: kinds of sections that are not parsed.
     unused_kinds = ()
 
     def __init__(self, *, settings, handlers, task_table, clock=None):
--- a/packages/magnoliagrade/magnoliagrade/node/outcomes.py
+++ b/packages/magnoliagrade/magnoliagrade/node/outcomes.py
@@ -1,4 +1,4 @@
-"""Table of the outcomes of orders, for an entry that lost the response."""
+"""Table of the outcomes of attempts, for an entry that lost the response."""
 
 from collections import OrderedDict
 
@@ -11,13 +11,13 @@
 
 
 class OutcomeTable:
-    """Orders that run in this process and recorded responses of those that ended.
+    """Attempts that run in this process and recorded responses of those that ended.
 
     Notes
     -----
-    An entry that lost a response asks for the outcome with a `Revoke`. The outcome of
-    an order whose response was evicted is unknown. The table holds at most 2,000
-    responses of half a kilobyte each.
+    An entry that lost the response to a non-repeatable request asks for the outcome of
+    its attempt with a `Revoke`. The outcome of an attempt whose response was evicted is
+    unknown. The table holds at most 2,000 responses of half a kilobyte each.
     """
 
     __slots__ = ("_recorded_by_attempt", "_running")
@@ -27,7 +27,7 @@
         self._recorded_by_attempt = OrderedDict()
 
     async def serve_and_record(self, attempt, sink, serve):
-        """Serve an order and record its response.
+        """Serve an attempt at a non-repeatable request and record its response.
 
         Parameters
         ----------
--- a/packages/magnoliagrade/magnoliagrade/node/settings.py
+++ b/packages/magnoliagrade/magnoliagrade/node/settings.py
@@ -42,13 +42,13 @@
     )
     advertised_data_address: str = setting(
         section="listen",
-        doc="address at which others reach the data listener; empty: its own",
+        doc="address at which others reach the data listener; empty: its bound one",
         address=True,
         default="",
     )
     advertised_control_address: str = setting(
         section="listen",
-        doc="address at which others reach the control listener; empty: its own",
+        doc="address at which others reach the control listener; empty: its bound one",
         address=True,
         default="",
     )
--- a/packages/magnoliagrade/magnoliagrade/node/tests/test_attempts.py
+++ b/packages/magnoliagrade/magnoliagrade/node/tests/test_attempts.py
@@ -39,7 +39,7 @@
 
 @given(_STEPS, st.integers(1, 4))
 def test_forgetting_never_allows_what_was_denied(steps, kept):
-    """Never started is said only of attempts that never start, however few are kept."""
+    """`revoke` returns True only for attempts that never start, at any table size."""
     table = AttemptTable(max_attempts=kept)
     begun, promised = set(), set()
     for is_begin, number in steps:
--- a/packages/magnoliagrade/magnoliagrade/store/client.py
+++ b/packages/magnoliagrade/magnoliagrade/store/client.py
@@ -203,7 +203,10 @@
             response = await self._exchange(method, path, params, data, timeout_s)
         except (aiohttp.ClientError, OSError, TimeoutError) as exc:
             STORE_CALLS.labels(purpose, verb, "unavailable").inc()
-            detail = f"{method} {path} failed: {type(exc).__name__}"
+            detail = (
+                f"store call {method} {path} failed: {type(exc).__name__}; "
+                f"its time-out is {timeout_s:g} s"
+            )
             was_never_sent = isinstance(exc, aiohttp.ClientConnectorError)
             raise StoreUnavailable(
                 detail, maybe_applied=method != "GET" and not was_never_sent
@@ -243,16 +246,20 @@
 
     def raise_for_status(self, method, path):
         if self.status == 409:
-            raise StoreConflict(f"{method} {path}: key is at revision {self.revision}")
+            raise StoreConflict(
+                f"store call {method} {path}: lease ended, or key not at the expected "
+                f"revision but at {self.revision}"
+            )
         if self.status == 429:
-            detail = f"{method} {path}: rejected by the store's rate limit"
+            detail = f"store call {method} {path}: rejected by the store's rate limit"
             raise MagnoliagradeError(ErrorKind.STORE_LIMITED, detail)
         if self.status >= 500:
             raise StoreUnavailable(
-                f"{method} {path}: status {self.status}", maybe_applied=method != "GET"
+                f"store call {method} {path}: status {self.status}",
+                maybe_applied=method != "GET",
             )
         if self.status >= 400 and self.status != 404:
-            detail = f"{method} {path}: status {self.status}"
+            detail = f"store call {method} {path}: status {self.status}"
             raise MagnoliagradeError(ErrorKind.INVALID_REQUEST, detail)
 
     def value(self, key):
@@ -261,6 +268,7 @@
         return StoreValue(key=key, value=self.body, revision=self.revision)
 
     def values(self):
+        # Each item of a list is a line `KEY REVISION SIZE`, then SIZE bytes of value.
         values = []
         remaining = self.body
         while remaining:
--- a/packages/magnoliagrade/magnoliagrade/store/instances.py
+++ b/packages/magnoliagrade/magnoliagrade/store/instances.py
@@ -43,7 +43,8 @@
         Raises
         ------
         MagnoliagradeError
-            `STORE_UNAVAILABLE` if the list cannot be fetched or is not valid JSON.
+            `STORE_UNAVAILABLE` if the list cannot be fetched, is not valid JSON or
+            contains an unknown role or state.
         """
         try:
             async with (
--- a/packages/magnoliagrade/magnoliagrade/store/limiter.py
+++ b/packages/magnoliagrade/magnoliagrade/store/limiter.py
@@ -4,8 +4,10 @@
 
 __all__ = ["CallLimiter"]
 
+# The bucket holds the calls of BURST_S at the limit, but at least BURST_MIN_CALLS.
 BURST_S = 2.0
 BURST_MIN_CALLS = 20.0
+# Longest time that a call waits for its token.
 MAX_WAIT_S = 1.0
 
 
@@ -16,7 +18,7 @@
     ----------
     clock : Clock
         Source of time.
-    rate : callable
+    calls_per_s : callable
         Returns the current limit in calls per second.
 
     Notes
@@ -39,8 +41,8 @@
         Raises
         ------
         MagnoliagradeError
-            `STORE_LIMITED` if the wait would exceed `MAX_WAIT_S`; `retry_after` gives
-            it in seconds.
+            `STORE_LIMITED` if the wait would exceed `MAX_WAIT_S`; `retry_after` is
+            that wait in seconds.
         """
         calls_per_s = self._calls_per_s()
         self._refill(calls_per_s)
@@ -48,7 +50,8 @@
         if wait_s > MAX_WAIT_S:
             detail = (
                 "store call rejected: this process exceeds its limit of "
-                f"{calls_per_s:.1f} calls per second"
+                f"{calls_per_s:.1f} calls per second; the wait of {wait_s:.1f} s would "
+                f"exceed {MAX_WAIT_S:.1f} s"
             )
             raise MagnoliagradeError(
                 ErrorKind.STORE_LIMITED, detail, retry_after=wait_s
