--- a/packages/magnoliagrade-entry/magnoliagrade_entry/requests/arrival.py
+++ b/packages/magnoliagrade-entry/magnoliagrade_entry/requests/arrival.py
@@ -114,7 +114,7 @@
     if application is None or _has_other_work(application, http_request.path):
         detail = (
             f"application {request.application!r} does not exist or does not serve "
-            f"path {http_request.path!r}"
+            "this path"
         )
         raise MagnoliagradeError(ErrorKind.NO_ROUTE, detail)
     request.organisation = organisation.name
