--- a/packages/magnoliagrade/magnoliagrade/algorithms/balance/budget.py
+++ b/packages/magnoliagrade/magnoliagrade/algorithms/balance/budget.py
@@ -1,4 +1,4 @@
-"""Share of a data centre's weight-store rate that one group may use."""
+"""Throughput of a data centre's weight store that one group may use."""
 
 __all__ = ["rebalancing_rate"]
 
@@ -9,12 +9,12 @@
     Parameters
     ----------
     store_bytes_per_s : float
-        Rate of the data centre's weight store.
+        Throughput of the data centre's weight store, in bytes per second.
     share : float
-        Part of that rate, from 0 to 1, that rebalancing may use; the rest is for
-        model loads.
+        Fraction of that throughput, from 0 to 1, that rebalancing may use; the rest
+        is for model loads.
     groups : int
-        Number of groups in the data centre, which share that part evenly.
+        Number of groups in the data centre, which share that fraction evenly.
     cold_starts : int
         Number of endpoints that are loading a model. If there are any, rebalancing
         may not load experts.
--- a/packages/magnoliagrade/magnoliagrade/algorithms/balance/placement.py
+++ b/packages/magnoliagrade/magnoliagrade/algorithms/balance/placement.py
@@ -121,5 +121,8 @@
         bits = np.frombuffer(data, dtype=np.uint8, offset=_HEADER.size)
         return np.unpackbits(bits, count=size).astype(bool).reshape(shape)
     except (struct.error, ValueError) as exc:
-        detail = f"placement truncated: got {len(data)} bytes"
+        detail = (
+            f"placement truncated: got {len(data)} bytes, but its shape alone "
+            f"takes {_HEADER.size}"
+        )
         raise MagnoliagradeError(ErrorKind.WIRE_INVALID, detail) from exc
--- a/packages/magnoliagrade/magnoliagrade/algorithms/balance/placement_changes.py
+++ b/packages/magnoliagrade/magnoliagrade/algorithms/balance/placement_changes.py
@@ -11,6 +11,7 @@
 MAX_EXPERTS_TRIED = 4
 MAX_TARGET_RANKS_TRIED = 4
 MAX_SWAPS_TRIED = 3
+# High enough that the power mean of the ranks' times is close to their maximum.
 POWER_MEAN_EXPONENT = 16
 
 
--- a/packages/magnoliagrade/magnoliagrade/algorithms/balance/policies.py
+++ b/packages/magnoliagrade/magnoliagrade/algorithms/balance/policies.py
@@ -18,7 +18,9 @@
 
 rebalancing_policies = Registry(family="rebalancing policy")
 
+# Time in seconds that a switch to a new placement is assumed to cost the group.
 SWITCH_COST_S = 0.5
+# Maximum number of changes of one layer in one plan; bounds the planning time.
 MAX_CHANGES_PER_LAYER = 64
 
 
@@ -31,7 +33,8 @@
     placement : ndarray of bool, shape (layers, ranks, experts)
         Placement in force.
     rates : ndarray of shape (layers, experts)
-        Tokens per second that each expert processes.
+        Tokens per second that each expert processes, up to a common factor: only the
+        ratios matter, so the means per rank of `ExpertCounter.rates` can be used.
     speeds : ndarray of shape (ranks,)
         Relative speed of each rank.
     slots : int
@@ -56,7 +59,7 @@
     horizon_s: float
 
     def step_time(self, placement):
-        """Return the step time of a placement, in tokens of a rank of speed 1."""
+        """Return a placement's step time: tokens over relative speed (1 is normal)."""
         return step_time(rank_times(placement, self.rates, self.speeds))
 
 
--- a/packages/magnoliagrade/magnoliagrade/algorithms/balance/repack.py
+++ b/packages/magnoliagrade/magnoliagrade/algorithms/balance/repack.py
@@ -59,6 +59,8 @@
             times_if_added = (loads + shares[expert]) / speeds
             times_if_added[(free_slots == 0) | placement[:, expert]] = np.inf
             rank = int(np.argmin(times_if_added))
+            # All ranks with a free slot hold the expert already. Its remaining replicas
+            # are left out; the first replica always finds a free slot.
             if np.isinf(times_if_added[rank]):
                 break
             placement[rank, expert] = True
--- a/packages/magnoliagrade/magnoliagrade/algorithms/fair_queue.py
+++ b/packages/magnoliagrade/magnoliagrade/algorithms/fair_queue.py
@@ -6,6 +6,8 @@
 
 __all__ = ["FairQueue", "QueueItem"]
 
+# Neither idle flows nor outdated heap entries are removed below this number, so that
+# small queues spend no time on cleanups.
 MIN_FLOWS_FOR_CLEANUP = 64
 
 
@@ -36,6 +38,9 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class _Flow:
+    # `start` is the virtual start time of the next item. `items` is a heap of (negated
+    # priority, sequence number, item) that may still hold removed items. An entry of
+    # the queue's heap is valid only if it has the current `version`.
     name: str
     weight: float
     start: float
@@ -65,8 +70,9 @@
     cost over weight with every item taken, and the flow with the earliest start time
     is served next. An idle flow resumes at the virtual time of the item taken last,
     so that idleness gives it no advantage. Each operation takes O(log n) for n flows
-    and waiting items. A flow without items is kept only as long as its start time is
-    later than the virtual time.
+    and waiting items. A flow without items whose start time is not later than the
+    virtual time is dropped by the next cleanup; a cleanup runs whenever the number of
+    flows has doubled.
 
     References
     ----------
@@ -151,7 +157,7 @@
             self._drop_idle_flows()
 
     def take(self, item):
-        """Remove an item as served, whatever its position in the queue."""
+        """Remove an item and charge its cost to its flow, whatever its position."""
         state = self._flow_by_name[item.flow]
         self.virtual_time = max(self.virtual_time, state.start)
         state.start += item.cost / state.weight
--- a/packages/magnoliagrade/magnoliagrade/algorithms/selectors.py
+++ b/packages/magnoliagrade/magnoliagrade/algorithms/selectors.py
@@ -110,5 +110,8 @@
             return Requirement(m[1], m[2], values)
     if m := _EXISTS.match(part):
         return Requirement(m[2], "absent" if m[1] else "exists")
-    detail = f"selector part {part!r} cannot be parsed"
+    detail = (
+        f"selector part {part!r} cannot be parsed; allowed: a=b, a==b, a!=b, "
+        "a in (b, c), a notin (b, c), a, !a"
+    )
     raise MagnoliagradeError(ErrorKind.CONFIGURATION_INVALID, detail)
--- a/packages/magnoliagrade/magnoliagrade/configuration/changes.py
+++ b/packages/magnoliagrade/magnoliagrade/configuration/changes.py
@@ -155,7 +155,7 @@
             raise TypeError(f"labels must be texts, got {texts!r:.200}")
     except (KeyError, TypeError, ValueError) as exc:
         detail = (
-            f"the body is not a valid change (one of "
+            f"the body is not a valid change (field 'change' must be one of "
             f"{', '.join(_CHANGE_CLASS_BY_NAME)}): {exc!r}"
         )
         raise MagnoliagradeError(ErrorKind.INVALID_REQUEST, detail) from exc
--- a/packages/magnoliagrade/magnoliagrade/configuration/chunks.py
+++ b/packages/magnoliagrade/magnoliagrade/configuration/chunks.py
@@ -21,6 +21,7 @@
 
 # Upper limit on the average number of sections in the chunks of one kind.
 MAX_MEAN_SECTIONS_PER_CHUNK = 48
+# Size of the BLAKE2b digest that identifies the content of a chunk.
 CHUNK_DIGEST_BYTES = 16
 
 
@@ -146,7 +147,7 @@
         return chunk_kind(name) not in self._skipped_kinds
 
     def missing(self, stored):
-        """Return the names of the chunks that a configuration has yet to parse."""
+        """Return the names of a configuration's chunks that are not yet cached."""
         return [
             name
             for name, reference in stored.root.chunk_by_name.items()
@@ -161,7 +162,7 @@
         )
 
     def join(self, stored):
-        """Return a stored configuration as objects; drop all other chunks.
+        """Return a stored configuration as objects; keep only its chunks in the cache.
 
         Raises
         ------
--- a/packages/magnoliagrade/magnoliagrade/configuration/ini.py
+++ b/packages/magnoliagrade/magnoliagrade/configuration/ini.py
@@ -95,7 +95,7 @@
         for digest in organisation.key_digests:
             owner = owner_by_digest.setdefault(digest, organisation.name)
             if owner != organisation.name:
-                allowed = f"{digest!r} is already a key of organisation {owner!r}"
+                allowed = f"digest {digest!r} already belongs to organisation {owner!r}"
                 report(f"organisation {organisation.name}", "key_digests", allowed)
 
 
--- a/packages/magnoliagrade/magnoliagrade/configuration/repository.py
+++ b/packages/magnoliagrade/magnoliagrade/configuration/repository.py
@@ -26,6 +26,7 @@
 
 __all__ = ["ConfigurationRepository"]
 
+# Longer summaries of changes are truncated in the history.
 MAX_SUMMARY_CHARS = 120
 # Revisions between two sweeps for chunks that failed writers left behind.
 SWEEP_INTERVAL_REVISIONS = 50
@@ -186,6 +187,7 @@
                 min_base_revision=min_base_revision,
             )
         finally:
+            # The cache serves only the attempts of one change.
             self._chunks = ParsedChunks()
 
     async def restore(self, stored):
@@ -277,6 +279,7 @@
             is_outcome_known = exc.kind is not ErrorKind.OUTCOME_UNKNOWN
             raise
         finally:
+            # If the outcome is unknown, the root may reference the new chunks.
             if is_outcome_known and not accepted:
                 added = attempt.stored.root.chunks_missing_from(attempt.base.root)
                 await self._storage.delete_chunks(added)
@@ -308,7 +311,8 @@
     if held_revision > revision and not is_superseding:
         detail = (
             f"the store holds revision {revision}, older than revision "
-            f"{held_revision} in force on instances, which write it back"
+            f"{held_revision} in force on instances; retry after an instance has "
+            "written it back"
         )
         raise MagnoliagradeError(ErrorKind.CONFIGURATION_STALE, detail, retry_after=5)
     newest = max(revision, held_revision)
@@ -344,9 +348,12 @@
 
 def _conflict(newest):
     if newest is None:
-        return StoreConflict("the store holds no configuration")
+        return StoreConflict(
+            "the change conflicts with the store, which holds no configuration"
+        )
     change = newest.root.newest
     detail = (
+        "the change conflicts with the configuration in the store: "
         f"revision {change.revision} was written by {change.author} at {change.time}"
     )
     return MagnoliagradeError(ErrorKind.CONFLICT, detail)
--- a/packages/magnoliagrade/magnoliagrade/configuration/storage.py
+++ b/packages/magnoliagrade/magnoliagrade/configuration/storage.py
@@ -14,13 +14,16 @@
 
 ROOT_KEY = "configuration/root"
 CHUNK_PREFIX = "configuration/chunk/"
+# Maximum number of concurrent calls of the store by one read, write or deletion.
 MAX_PARALLEL_CALLS = 8
 # From this number of missing chunks on, all chunks are read by one list call.
 LIST_MIN_MISSING_CHUNKS = 8
 # A read is repeated when a concurrent change has deleted chunks of the root just read.
 MAX_READ_ATTEMPTS = 5
+# Delay before a failed write is retried; it doubles up to the maximum, with jitter.
 RETRY_DELAY_FIRST_S = 0.05
 RETRY_DELAY_MAX_S = 1.0
+# Label of these calls in the metric that counts the calls of the store.
 _PURPOSE = "configuration"
 _log = logging.getLogger(__name__)
 
@@ -42,6 +45,10 @@
 
     Notes
     -----
+    A revision is the number of a configuration, kept in its root. The store revision
+    is the number that the store gives to a write of the root key; the compare-and-swap
+    of the root key expects it.
+
     The key of a chunk contains the revision that its writer was to make and the
     writer's operation id, so no two writers share a key. A chunk that the root does
     not reference can be deleted if its revision is not above that of the root: later
@@ -110,7 +117,10 @@
                 )
             # A concurrent change wrote a newer root and deleted the replaced chunks.
             value = await self._store.get(ROOT_KEY, purpose=_PURPOSE) or value
-        detail = f"chunks of revision {root.revision} are missing in the store"
+        detail = (
+            f"chunks of revision {root.revision} are missing in the store below "
+            f"{CHUNK_PREFIX} in each of {MAX_READ_ATTEMPTS} reads"
+        )
         raise MagnoliagradeError(ErrorKind.CONFIGURATION_INVALID, detail)
 
     async def write(self, stored, base):
--- a/packages/magnoliagrade/magnoliagrade/world/request.py
+++ b/packages/magnoliagrade/magnoliagrade/world/request.py
@@ -34,7 +34,8 @@
     idempotency_key : str
         Idempotency key set by the caller, or empty.
     priority : int
-        Priority, passed on to the engine; a higher value is more urgent.
+        Priority, passed on to the engine; a higher value is more urgent, unlike
+        `ServiceRoute.priority`.
     deadline : float
         Time in seconds, on the monotonic clock of the receiving process, by which the
         response is due.
--- a/packages/magnoliagrade/magnoliagrade/world/site.py
+++ b/packages/magnoliagrade/magnoliagrade/world/site.py
@@ -52,7 +52,8 @@
     gap_objective_s : float
         Objective for the longest gap between two events of a stream, in seconds.
     priority : int
-        Priority of the requests; 0 is served first.
+        Priority of the requests; 0 is served first, unlike `Request.priority`, of
+        which a higher value is more urgent.
     max_endpoints : int
         Maximum number of endpoints that one request is sent to.
     is_public : bool
@@ -235,6 +236,11 @@
 class RankStatus:
     """Status that a rank of an expert-parallel group reports.
 
+    A rank changes its expert map in three stages: the experts of the new map are
+    copied (prepared), the number of the pass to switch at is set (armed), and the rank
+    switches at the start of that pass. `step`, `armed_step` and `held_step` are numbers
+    of passes, not of the steps of `EngineProfile`.
+
     Parameters
     ----------
     group : str
