--- a/packages/magnoliagrade/magnoliagrade/configuration/changes.py
+++ b/packages/magnoliagrade/magnoliagrade/configuration/changes.py
@@ -145,14 +145,14 @@
             if not isinstance(value, attribute.type):
                 raise TypeError(
                     f"{attribute.name} must be a {attribute.type.__name__}, "
-                    f"got {value!r:.200}"
+                    f"got a {type(value).__name__}"
                 )
         texts = [
             *getattr(change, "removed", ()),
             *getattr(change, "value_by_label", {}).values(),
         ]
         if not all(isinstance(text, str) for text in texts):
-            raise TypeError(f"labels must be texts, got {texts!r:.200}")
+            raise TypeError("the values of labels and the removed labels must be texts")
     except (KeyError, TypeError, ValueError) as exc:
         detail = (
             f"the body is not a valid change (field 'change' must be one of "
