--- a/packages/magnoliagrade/magnoliagrade/early_start.py
+++ b/packages/magnoliagrade/magnoliagrade/early_start.py
@@ -3,7 +3,8 @@
 The imports take most of the start-up time.
 
 Load pattern: many processes are killed at once. A caller whose connection is refused
-retries immediately, and only once; an accepted connection waits for the process.
+retries immediately, and only once. A restarted process therefore listens before its
+imports: connections wait in the backlog until the process accepts them.
 """
 
 import configparser
@@ -45,8 +46,8 @@
 def skip_ca_certificates():
     """Prevent the HTTP library from loading the CA certificates when it is imported.
 
-    The direct processes don't use TLS, and loading the certificates takes a fifth of
-    the start-up time.
+    The direct entries and their agents don't use TLS, and loading the certificates
+    takes a fifth of the start-up time.
     """
     os.environ["SSL_CERT_FILE"] = os.devnull
     os.environ["SSL_CERT_DIR"] = os.devnull
--- a/packages/magnoliagrade/magnoliagrade/errors.py
+++ b/packages/magnoliagrade/magnoliagrade/errors.py
@@ -15,7 +15,10 @@
 
 
 class ErrorKind(enum.Enum):
-    """Kind of an error; the list is closed."""
+    """Kind of an error; the list is closed.
+
+    `UNAUTHENTICATED` is about an API key, `KEY_REUSED` about an idempotency key.
+    """
 
     INVALID_REQUEST = "INVALID_REQUEST"
     UNAUTHENTICATED = "UNAUTHENTICATED"
--- a/packages/magnoliagrade/magnoliagrade/http/events.py
+++ b/packages/magnoliagrade/magnoliagrade/http/events.py
@@ -5,6 +5,7 @@
 
 __all__ = ["CompleteEvents", "EventSplitter"]
 
+# Largest incomplete event that is held back.
 MAX_EVENT_BYTES = 1024 * 1024
 _BOUNDARY = re.compile(rb"\r?\n\r?\n")
 _END_PAYLOAD = b"[DONE]"
@@ -19,7 +20,8 @@
     data : bytes
         Bytes of the events as received.
     tokens : int
-        Number of events that carry a token.
+        Number of events with a `data` line, except the end event; each counts as one
+        token.
     is_stream_end : bool
         Whether the last event is the explicit end of the stream.
     """
@@ -34,10 +36,10 @@
 
     Examples
     --------
-    >>> cutter = EventSplitter()
-    >>> cutter.feed(b"data: a\n\ndata: [DO").data
+    >>> splitter = EventSplitter()
+    >>> splitter.feed(b"data: a\n\ndata: [DO").data
     b'data: a\n\n'
-    >>> cutter.feed(b"NE]\n\nlate").is_stream_end
+    >>> splitter.feed(b"NE]\n\nlate").is_stream_end
     True
 
     Notes
--- a/packages/magnoliagrade/magnoliagrade/http/headers.py
+++ b/packages/magnoliagrade/magnoliagrade/http/headers.py
@@ -1,4 +1,8 @@
-"""Internal headers of requests between processes, and the headers to forward."""
+"""Internal headers between processes, and the headers to forward.
+
+`RAN` and `CODE` are headers of responses. The others are headers of requests;
+`ATTEMPT` is returned in the response.
+"""
 
 import json
 
@@ -27,6 +31,8 @@
 RESUME_TOKENS = PREFIX + "resume-tokens"
 _REQUEST = PREFIX + "request"
 
+# Hop-by-hop headers, and headers that apply to one connection or message only
+# (`Content-Length`, `Host`, `Expect`).
 HOP_BY_HOP = frozenset(
     [
         "connection",
@@ -43,6 +49,7 @@
         "expect",
     ]
 )
+# `Authorization` has the caller's API key for this system.
 _NOT_FORWARDED = HOP_BY_HOP | {"authorization", "traceparent", "tracestate"}
 
 
--- a/packages/magnoliagrade/magnoliagrade/http/recording.py
+++ b/packages/magnoliagrade/magnoliagrade/http/recording.py
@@ -4,6 +4,7 @@
 
 __all__ = ["RecordedResponse", "RecordingSink"]
 
+# A response is short enough to record if its body is at most this large.
 MAX_RECORDED_BODY_BYTES = 512
 
 
@@ -42,6 +43,10 @@
     ----------
     sink : ResponseSink
         Sink that the response is written to.
+
+    Notes
+    -----
+    `status` is 0 until the response has started.
     """
 
     __slots__ = ("_body", "_content_type", "_is_complete", "_sink", "status")
--- a/packages/magnoliagrade/magnoliagrade/http/responses.py
+++ b/packages/magnoliagrade/magnoliagrade/http/responses.py
@@ -27,7 +27,8 @@
     -----
     `tokens_written` starts above 0 if the caller already has tokens of an earlier
     attempt. `ignores_disconnect` is set for requests that run to completion even if
-    the client has disconnected.
+    the client has disconnected. The client is whichever process sent the request: a
+    caller, or an entry if this process is an agent or a peer entry.
     """
 
     __slots__ = (
--- a/packages/magnoliagrade/magnoliagrade/http/server.py
+++ b/packages/magnoliagrade/magnoliagrade/http/server.py
@@ -24,7 +24,8 @@
 
 # Longest time for which the rest of a request is read and dropped after the response.
 LINGERING_TIME_S = 2.0
-# Connections that the kernel holds until they are accepted.
+# Connections that the kernel holds until they are accepted. A socket that already
+# listens (`early_start`) gets this backlog too, in place of its smaller one.
 LISTEN_BACKLOG_CONNECTIONS = 1024
 _log = logging.getLogger(__name__)
 
@@ -253,7 +254,11 @@
 
     def handle_error(self, request, status=500, exc=None, message=None):
         if status >= 500:
-            detail = type(exc).__name__ if exc else "unhandled timeout"
+            detail = (
+                f"request handler raised {type(exc).__name__}"
+                if exc
+                else "request handler raised a timeout error"
+            )
             error = MagnoliagradeError(ErrorKind.INTERNAL, detail)
             _log.error("request.failed", exc_info=exc)
         else:
--- a/packages/magnoliagrade/magnoliagrade/observability/logs.py
+++ b/packages/magnoliagrade/magnoliagrade/observability/logs.py
@@ -94,7 +94,10 @@
         super().emit(record)
 
     def format(self, record):
-        """Return the line of a record, truncated to what a pipe accepts at once."""
+        """Return the line of a record, truncated to what a pipe accepts at once.
+
+        A truncated line isn't valid JSON.
+        """
         line = super().format(record)
         if len(line) >= MAX_LINE_BYTES:
             return line[: MAX_LINE_BYTES - 2]
--- a/packages/magnoliagrade/magnoliagrade/wire/capacity.py
+++ b/packages/magnoliagrade/magnoliagrade/wire/capacity.py
@@ -66,9 +66,10 @@
 class UsageReport:
     """An entry reports to its peers the usage of organisations that have a ceiling.
 
-    The report covers the last `interval_seconds`. Peers in the same data centre receive
-    the figures of the sender alone, peers in remote data centres the sums over the
-    entries of the sender's data centre.
+    The report covers the last `interval_seconds`; the cost of an organisation is its
+    demand per second, smoothed over several reports. Peers in the same data centre
+    receive the figures of the sender alone, peers in remote data centres the sums over
+    the entries of the sender's data centre.
     """
 
     interval_seconds: float = 0.0
--- a/packages/magnoliagrade/magnoliagrade/wire/configuration.capnp
+++ b/packages/magnoliagrade/magnoliagrade/wire/configuration.capnp
@@ -3,7 +3,7 @@
 
 struct ConfigurationPull {
   knownRevision @0 :UInt64;
-  knownDigests @1 :List(Text);
+  knownDigests @1 :List(Text);  # of chunks that the sender has
 }
 
 struct ConfigurationChunk {
@@ -27,8 +27,8 @@
 
 struct StatusReport {
   revision @0 :UInt64;
-  operation @1 :Text;
-  ageSeconds @2 :Float64;
+  operation @1 :Text;        # id of the newest change of the configuration
+  ageSeconds @2 :Float64;    # time that the configuration has been in force
   role @3 :Text;
   dataCentre @4 :Text;
   notReady @5 :List(Text);
--- a/packages/magnoliagrade/magnoliagrade/wire/connect.py
+++ b/packages/magnoliagrade/magnoliagrade/wire/connect.py
@@ -85,7 +85,8 @@
     may_dial : callable
         Returns whether to dial now.
     on_result : callable
-        Called after each attempt with whether the `Hello` messages were exchanged.
+        Called when an attempt has failed or its link has ended, with whether both
+        sides had exchanged `Hello` messages.
     """
     host, _, port = address.rpartition(":")
     backoff_s = BACKOFF_FIRST_S
@@ -144,7 +145,7 @@
 
 
 async def _run_link(link, hello, handle, *, expected=""):
-    """Exchange `Hello` messages and run the handler; return whether both arrived."""
+    """Run a link until it ends; return whether the peer's `Hello` was accepted."""
     hellos_exchanged = False
     try:
         link.send(hello())
--- a/packages/magnoliagrade/magnoliagrade/wire/envelope.capnp
+++ b/packages/magnoliagrade/magnoliagrade/wire/envelope.capnp
@@ -10,8 +10,8 @@
 
 struct Envelope {
   instance @0 :Text;
-  incarnation @1 :UInt64;
-  sequence @2 :UInt64;
+  incarnation @1 :UInt64;    # random number of this run of the sending process
+  sequence @2 :UInt64;       # number of the message on its link, starting at 1
   configurationRevision @3 :UInt64;
   union {
     membership @4 :Membership.MembershipMessage;
--- a/packages/magnoliagrade/magnoliagrade/wire/group.capnp
+++ b/packages/magnoliagrade/magnoliagrade/wire/group.capnp
@@ -1,5 +1,6 @@
 @0xf27ac3b86d1405e9;
 # Messages of expert-parallel groups: switches of the expert map and token counts.
+# `fence` is the fencing token of the coordinator's lease, `version` is of the map.
 
 struct StageMap {
   group @0 :Text;
@@ -80,7 +81,7 @@
   map @8 :Data;
   openMap @9 :Data;
   completedStep @10 :UInt64;
-  origin @11 :UInt64;        # 0: the rank has no state of the group
+  origin @11 :UInt64;        # generation that steps count from; 0: rank has no map
   fence @12 :UInt64;
   incarnations @13 :List(UInt64);
   isRankNew @14 :Bool;       # the rank's process restarted since the rank last ran
@@ -93,7 +94,7 @@
   experts @3 :UInt32;
   counts @4 :List(Float32);  # layers x experts, row-major
   step @5 :UInt64;
-  stepSeconds @6 :Float32;
+  stepSeconds @6 :Float32;   # duration of a step
   seconds @7 :Float32;       # length of the counted period
   workSeconds @8 :Float32;   # time that the rank worked, without waits for other ranks
 }
--- a/packages/magnoliagrade/magnoliagrade/wire/link.py
+++ b/packages/magnoliagrade/magnoliagrade/wire/link.py
@@ -8,6 +8,7 @@
 
 __all__ = ["MAX_MESSAGE_BYTES", "Link", "LinkCounters"]
 
+# Largest received message, without its length prefix; not checked when sending.
 MAX_MESSAGE_BYTES = 4 * 1024 * 1024
 # Unsent bytes above which a link is aborted.
 MAX_BUFFERED_BYTES = 8 * 1024 * 1024
@@ -15,7 +16,10 @@
 
 
 class LinkCounters:
-    """Counts of messages and bytes received and sent on the links of one process."""
+    """Counts of messages and bytes received and sent on the links of one process.
+
+    Bytes include the length prefixes.
+    """
 
     __slots__ = ("bytes_in", "bytes_out", "messages_in", "messages_out")
 
--- a/packages/magnoliagrade/magnoliagrade/wire/membership.capnp
+++ b/packages/magnoliagrade/magnoliagrade/wire/membership.capnp
@@ -11,10 +11,10 @@
   role @1 :Text;
   dataCentre @2 :Text;
   dataAddress @3 :Text;      # host:port of the HTTP listener for other processes
-  controlAddress @4 :Text;
+  controlAddress @4 :Text;   # host:port of the listener for links
   labels @5 :List(Label);
   group @6 :Text;
-  rank @7 :Int32 = -1;
+  rank @7 :Int32 = -1;       # -1: not a rank of a group
 }
 
 struct Heartbeat {
@@ -43,8 +43,8 @@
 
 struct PoolSummary {
   pool @0 :Text;
-  freeCredits @1 :Float64;
-  waiting @2 :Float64;
+  freeCredits @1 :Float64;   # free credit, in units of cost
+  waiting @2 :Float64;       # cost of the requests in the wait queue
   estimatedWaitSeconds @3 :Float64;
   readyEndpoints @4 :UInt32;
 }
--- a/packages/magnoliagrade/magnoliagrade/wire/outcome.capnp
+++ b/packages/magnoliagrade/magnoliagrade/wire/outcome.capnp
@@ -16,9 +16,9 @@
 
 struct ClaimChange {
   action @0 :Text;           # claim, settle or release
-  operation @1 :Text;
-  key @2 :Text;
-  digest @3 :Text;
+  operation @1 :Text;        # unique id of the claim
+  key @2 :Text;              # digest of organisation and idempotency key
+  digest @3 :Text;           # digest of method, path and body
   until @4 :Float64;         # wall-clock seconds after which the claim may be dropped
   status @5 :UInt16;         # HTTP status of the recorded outcome; 0 for none
   contentType @6 :Text;
--- a/packages/magnoliagrade/magnoliagrade/wire/work.capnp
+++ b/packages/magnoliagrade/magnoliagrade/wire/work.capnp
@@ -15,17 +15,17 @@
 struct RankCall {
   call @0 :UInt64;           # number of the call on its link
   operation @1 :Text;
-  epoch @2 :UInt64;
-  version @3 :UInt64;        # version of the expert map
+  epoch @2 :UInt64;          # epoch of the group
+  version @3 :UInt64;        # of the expert map; for `counts`: id of the last snapshot
   step @4 :UInt64;
   placement @5 :Data;        # packed expert map
 }
 
 struct RankReply {
   call @0 :UInt64;
-  outcome @1 :Text;
+  outcome @1 :Text;          # confirmed, refused or failed
   status @2 :Data;           # JSON of the rank's status
-  counts @3 :Data;           # tokens by set and expert, little-endian 64 bits each
+  counts @3 :Data;           # `counts`: delta-encoded counters; `experts`: JSON
   tries @4 :UInt32;          # number of times an order was sent until it took effect
 }
 
