--- a/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/credits.py
+++ b/packages/magnoliagrade-agent/magnoliagrade_agent/capacity/credits.py
@@ -61,7 +61,7 @@
     ----------
     in_flight : float
         Cost of the requests that the agent tracks.
-    is_blocked : bool
+    is_suspended : bool
         Whether the endpoint accepts no connections, so that nothing is admitted.
     on_capacity_freed : callable, optional
         Called without arguments after each end of a tracked request.
@@ -86,7 +86,7 @@
         "continuity",
         "grants",
         "in_flight",
-        "is_blocked",
+        "is_suspended",
         "limit_policy",
         "on_capacity_freed",
         "untracked",
@@ -101,7 +101,7 @@
         self._snapshot_at = float("-inf")
         self._tracked = {}
         self.in_flight = 0.0
-        self.is_blocked = False
+        self.is_suspended = False
         self.continuity = BootContinuity(has_reports=has_reports)
         self.grants = GrantTable(clock=clock)
         self.untracked = UntrackedWork(clock=clock, has_reports=has_reports)
@@ -115,7 +115,7 @@
     @property
     def limit(self):
         """Return the cost that may be in flight at the endpoint now."""
-        if not self._is_load_known or self.is_blocked:
+        if not self._is_load_known or self.is_suspended:
             return 0.0
         if self.continuity.is_proven:
             return self.limit_policy.limit
@@ -196,8 +196,8 @@
         Notes
         -----
         While the boot is not proven, a request whose cost lies between the cold limit
-        and the warm one is admitted only if nothing else is in flight and the newest
-        load report is at most 2 s old. The wait for the endpoint to begin its
+        and the policy's limit is admitted only if nothing else is in flight and the
+        newest load report is at most 2 s old. The wait for the endpoint to begin its
         responses to earlier requests takes milliseconds and ends after a second.
         """
         deadline = self._clock.monotonic() + MAX_ADMISSION_WAIT_S
@@ -207,7 +207,9 @@
                 return self._begin(request, entry)
             if self._clock.monotonic() >= deadline:
                 self._reject(
-                    "pace", "the endpoint has not begun to respond to earlier requests"
+                    "pace",
+                    "the endpoint has not begun to respond to earlier requests "
+                    f"within {MAX_ADMISSION_WAIT_S} s",
                 )
             await self._clock.sleep(ADMISSION_POLL_S)
 
@@ -245,9 +247,9 @@
         work.confirmed_at = self._clock.monotonic()
         self.continuity.on_confirmed(work.epoch, at=work.confirmed_at)
 
-    def note_chunk(self, work, chunk):
+    def record_chunk(self, work, chunk):
         """Record the arrival of a chunk of a response body."""
-        work.note_chunk(chunk, at=self._clock.monotonic())
+        work.record_chunk(chunk, at=self._clock.monotonic())
 
     def on_report(self, report, *, requested_at):
         """Update the ledger from a load report of the engine.
@@ -283,7 +285,7 @@
         Parameters
         ----------
         reason : str
-            Label of the metric and value of the log field.
+            Why the limit is reset; a label of the metric of changes and a log field.
         """
         before = self.limit_policy.limit
         self.limit_policy.on_cold()
@@ -296,15 +298,20 @@
             self._reject(
                 "unknown", "no load report has been made since the agent started"
             )
-        if self.is_blocked:
+        if self.is_suspended:
             self._reject("blocked", "the endpoint does not accept connections")
         if not self.held and self.limit < request.cost <= self._exclusive_limit():
             return
+        # A request covered by its entry's credit has to fit beside the held cost only.
+        # Without enough credit it must also leave the credit of other entries free.
         credit = min(request.cost, self.grants.reserved_for(entry))
         others = self.grants.reserved - credit if credit < request.cost else 0.0
         total = self.held + request.cost + others
         if total > self.limit:
-            detail = f"cost {request.cost} would make {total}, limit is {self.limit}"
+            detail = (
+                f"request of cost {request.cost} would raise the cost held and "
+                f"reserved to {total}, above the limit {self.limit}"
+            )
             self._reject("limit", detail)
 
     def _exclusive_limit(self):
--- a/packages/magnoliagrade-standins/magnoliagrade_standins/ranks/server.py
+++ b/packages/magnoliagrade-standins/magnoliagrade_standins/ranks/server.py
@@ -121,7 +121,9 @@
 
     def expert_rates(self):
         """Return the fraction of tokens that each expert of each layer gets now."""
-        return self.popularity.at(self.clock.monotonic() * self.profile.drift % DAY_S)
+        return self.popularity.shares_at(
+            self.clock.monotonic() * self.profile.drift % DAY_S
+        )
 
     def layer_times(self):
         """Return the relative time of each rank in each layer, with rank 0's map."""
